--- a/puffinpost/replication/__init__.py
+++ b/puffinpost/replication/__init__.py
@@ -1,5 +1,5 @@
-"""Replicated state: replicas of single-writer logs, eventually consistent by gossip and anti-entropy.
+"""Replicated state: replicas of single-writer logs, kept eventually consistent by gossip and anti-entropy.
 
-`member` is one node's part and the place to begin; nothing here does I/O, and a driver in `cluster` hands in
-messages and the time. docs/replication.md explains the design.
+Start with `member`, which is one node's part. Nothing here does I/O: a driver in `cluster` passes in messages
+and the time. docs/replication.md explains the design.
 """
--- a/puffinpost/replication/anti_entropy.py
+++ b/puffinpost/replication/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Anti-entropy: periodic comparison of replicas with a neighbour's, and repair of rows that are lacking.
+"""Anti-entropy: compares replicas periodically with a neighbour's, and requests the rows that are missing.
 
-`Member` calls it at intervals and with the messages of comparisons; `range_checksum` finds the differences.
+`Member` calls it at intervals and for each message of a comparison; `range_checksum` finds the differences.
 """
 
 from __future__ import annotations
@@ -15,12 +15,15 @@
 from puffinpost.replication.replica_set import ReplicaSet
 from puffinpost.replication.rows import Origin
 
-MAX_RESENT_ROWS = 512  # in one message
-MAX_REPAIR_ROUNDS = 20  # in which damaged rows are requested before they are given up
+MAX_RESENT_ROWS = 512  # rows in one message
+MAX_REPAIR_ROUNDS = 20  # rounds in which damaged rows are requested before they are given up
 
 
 class AntiEntropy:
-    """One node's part. Each round compares one replica with that of a random neighbour, all in turn."""
+    """One node's anti-entropy. Each round compares one replica with a random neighbour's.
+
+    A pass over all replicas takes them in random order.
+    """
 
     def __init__(
         self,
@@ -35,11 +38,14 @@
         self.gossip = gossip
         self.rng = rng
         self.count = count
-        self.remaining: list[Origin] = []  # not compared yet in this pass over all replicas
+        self.remaining: list[Origin] = []  # not yet compared in this pass over all replicas
         self.repair_rounds = 0
 
     def run_round(self, now_ns: int) -> bool:
-        """Compares one replica, and requests damaged rows; whether there are some and a round is due soon."""
+        """Compares one replica and requests damaged rows.
+
+        Returns whether there are damaged rows, in which case the next round should follow sooner.
+        """
         reachable = [
             name
             for name, peer in self.gossip.peers.items()
@@ -64,7 +70,10 @@
                 return
 
     def _request_damaged(self, reachable: list[str]) -> bool:
-        """Requests damaged rows, for a limited number of rounds because no other node may have them."""
+        """Requests damaged rows; returns whether there are any.
+
+        The number of rounds is limited because it is possible that no other node has the rows.
+        """
         damaged = repair.damaged_rows(self.replicas)
         self.repair_rounds += bool(damaged)
         for origin, sequences in damaged.items():
@@ -77,9 +86,9 @@
         return bool(damaged)
 
     def on_range_checksums(self, sender: str, message: RangeChecksums) -> None:
-        """A neighbour compares ranges: splits those that differ, or lists the rows of small ones.
+        """Handles a neighbour's range checksums: splits ranges that differ, and lists the rows of small ones.
 
-        Positions that differ mean that updates are on their way, and not that a row is lost.
+        Nothing is compared if the positions differ: that means updates on their way and not a lost row.
         """
         position = message.position
         replica = self.replicas.by_origin.get(position.origin)
@@ -96,10 +105,10 @@
             self._send(sender, RangeChecksums(position, subranges))
 
     def on_live_rows(self, sender: str, message: LiveRows) -> None:
-        """A neighbour listed the live rows of a range: requests those that are lacking here.
+        """Handles a neighbour's list of the live rows in a range: requests those that are missing here.
 
-        Rows that only this node has are requested by the neighbour when it compares in its turn; an answer
-        here could make the two exchange lists for ever.
+        The neighbour requests rows that only this node has when it starts a comparison itself; if this node
+        answered with a list of its own, the two could exchange lists forever.
         """
         origin = message.position.origin
         replica = self.replicas.by_origin.get(origin)
@@ -110,7 +119,7 @@
             self._send(sender, ResendRequest(origin, missing[:MAX_RESENT_ROWS]))
 
     def on_resend_request(self, sender: str, message: ResendRequest) -> None:
-        """A neighbour requests rows by their sequence numbers."""
+        """Answers a neighbour's request for rows by sequence number."""
         replica = self.replicas.by_origin.get(message.origin)
         requested = message.sequences[:MAX_RESENT_ROWS]
         rows = []
--- a/puffinpost/replication/catch_up.py
+++ b/puffinpost/replication/catch_up.py
@@ -1,7 +1,8 @@
-"""Catching up: which rows a replica lacks, the chunks that bring them, and their application.
+"""Catch-up: determines which rows a replica is missing, and reads and applies the chunks that contain them.
 
 A replica that lags behind the tombstone floor of the sender first learns which of its rows are still live and
-prunes the others, because the tombstones that would remove them are gone. `Gossip` calls these functions.
+prunes the others, because the tombstones that would have removed them were discarded. `Gossip` and
+`RowServer` call these functions.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from puffinpost.replication.replica_set import ReplicaSet
 from puffinpost.replication.rows import Origin, Row
 
-SEQUENCE_BYTES = 4  # about what one live sequence number takes in a chunk
+SEQUENCE_BYTES = 4  # approximate size of one live sequence number in a chunk
 
 
 def missing_rows(replicas: ReplicaSet, remote: ReplicaPosition) -> MissingRows | None:
-    """What to request of a peer at a position; None where it has nothing new.
+    """What to request from a peer that is at a position; None if it has nothing new.
 
-    Where only the peer's tombstone floor is ahead, this replica's is raised on the spot.
+    If only the peer's tombstone floor is ahead, the floor of this node's replica is raised immediately.
     """
     origin = remote.origin
     replica = replicas.by_origin.get(origin)
@@ -35,7 +36,7 @@
 
 
 def read_chunk(replicas: ReplicaSet, missing: MissingRows, max_bytes: int) -> RowChunk | None:
-    """The next chunk for a peer, of about ``max_bytes`` and at least one row; None where it lacks nothing."""
+    """The next chunk for a peer, of about ``max_bytes`` and at least one row; None if nothing is missing."""
     origin = missing.origin
     replica = replicas.by_origin.get(origin)
     last = replica.intact_through() if replica is not None else 0
@@ -51,7 +52,7 @@
 
 
 def _rows_up_to(replica: Replica, after: int, last: int, max_bytes: int) -> tuple[list[Row], int]:
-    """Rows of about ``max_bytes``, and the sequence number up to which they are all that is live."""
+    """Rows of about ``max_bytes``, and the sequence number up to which they include all live rows."""
     rows: list[Row] = []
     bytes_left = max_bytes
     for row in replica.rows_between(after, last):
@@ -75,9 +76,9 @@
 
 
 def apply_chunk(replicas: ReplicaSet, chunk: RowChunk) -> bool:
-    """Applies a chunk from a peer; whether it brought this replica forward.
+    """Applies a chunk from a peer; returns whether the replica advanced.
 
-    A chunk that is late, duplicated or out of order, or that comes before a needed pruning, changes nothing.
+    A chunk that is late, duplicated or out of order, or that requires pruning not done yet, changes nothing.
     """
     origin = chunk.origin
     if replicas.is_superseded(origin):
@@ -100,9 +101,9 @@
 
 
 def _advance_floor(replicas: ReplicaSet, replica: Replica, chunk: RowChunk) -> bool:
-    """Raises the tombstone floor where the chunk's is ahead of this replica; False while pruning is not done.
+    """Raises the tombstone floor if the chunk's is ahead of this replica; False while pruning is incomplete.
 
-    The chunk has no tombstones up to its floor, so the replica must not wait for them.
+    The chunk contains no tombstones up to its floor, so the replica must not wait for them.
     """
     if not replica.sequence < chunk.tombstone_floor > replica.tombstone_floor:
         return True
@@ -115,7 +116,7 @@
 
 
 def _apply_rows(replicas: ReplicaSet, replica: Replica, chunk: RowChunk) -> bool:
-    """Applies the chunk's rows in order; False where one was rejected, and those after it were left out."""
+    """Applies the chunk's rows in order; returns False if one was rejected, which skips the rows after it."""
     for row in chunk.rows:
         if row.sequence <= replica.sequence:
             continue
@@ -129,7 +130,7 @@
 
 
 def _prune(replicas: ReplicaSet, replica: Replica, chunk: RowChunk) -> bool:
-    """Removes rows in the chunk's range that are no longer live; whether the chunk was the next in order."""
+    """Removes rows in the chunk's range that are no longer live; returns whether the chunk was in order."""
     pruned_through = replica.pruned_through if replica.pruning_floor == chunk.tombstone_floor else 0
     if chunk.after != pruned_through or not pruned_through < chunk.through <= replica.sequence:
         return False
--- a/puffinpost/replication/gossip.py
+++ b/puffinpost/replication/gossip.py
@@ -1,8 +1,8 @@
 """Gossip between a node and its neighbours: announcements of positions, digests, and requests for rows.
 
-Only positions are announced. A node that lacks rows requests them from one neighbour that has them, and
-from another one after a timeout, so each row reaches each node about once, and a neighbour that does not read
-holds up nothing here.
+Only positions are announced. A node that is missing rows requests them from one neighbour that has them, and
+after a timeout from another one. Each row is therefore sent to each node about once, and a neighbour that
+does not read delays nothing here.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 from puffinpost.replication.rows import Origin
 
 MAX_ORIGINS_PER_REQUEST = 64
-UNPRODUCTIVE_PEER_PAUSE_NS = 1_000_000_000  # after a response that brought nothing
+UNPRODUCTIVE_PEER_PAUSE_NS = 1_000_000_000  # after a response that advanced no replica
 NEVER_NS = -(10**18)
 
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of a neighbour. Times are ns of this node's clock."""
+    """What is known about a neighbour. Times are in ns of this node's clock."""
 
     last_message_at: int = NEVER_NS
-    positions: dict[Origin, ReplicaPosition] = field(default_factory=dict)  # as far as it announced them
-    requested_at: int | None = None  # of the request that it has not answered yet
+    positions: dict[Origin, ReplicaPosition] = field(default_factory=dict)  # as last announced
+    requested_at: int | None = None  # when the pending request was sent; None without one
     paused_until: int = 0
 
     def has_announced(self, position: ReplicaPosition) -> bool:
-        """Whether the peer's position of an origin is this one."""
+        """Whether this is the last position that the peer announced of the origin."""
         return position == self.positions.get(position.origin)
 
     def sequence(self, origin: Origin) -> int:
-        """How far the peer's replica of an origin is; 0 where it has not announced it."""
+        """The sequence number that the peer's replica has reached; 0 if none was announced."""
         position = self.positions.get(origin)
         return position.sequence if position is not None else 0
 
 
 class Gossip:
-    """One node's exchange with its neighbours. ``outbox`` has messages to send, each with a peer's name."""
+    """One node's exchange with its neighbours. ``outbox`` has messages to send, each with the peer's name."""
 
     def __init__(self, config: MemberConfig, replicas: ReplicaSet, rng: random.Random, now_ns: int) -> None:
         self.config = config
@@ -60,7 +60,7 @@
         self.peers = {name: Peer() for name in config.neighbours()}
         self.row_server = RowServer.create(config, replicas, now_ns)
         self.outbox: list[tuple[str, Message]] = []
-        self.requested_until: dict[Origin, int] = {}  # until when no other peer is asked for an origin's rows
+        self.requested_until: dict[Origin, int] = {}  # until then, an origin is not requested again
         self.announce_at: int | None = None
         self.announced_at = now_ns - config.announce_interval_ns
         self.digest_at = now_ns
@@ -68,21 +68,21 @@
     # --- messages from peers ------------------------------------------------------------------------
 
     def on_connected(self, name: str) -> None:
-        """A link to a neighbour was established; requests and responses on the previous one are lost."""
+        """A link to a neighbour was established. Requests and responses on the previous link are lost."""
         self.peers[name].requested_at = None
         self.row_server.peers[name].pending_request = None
         self.outbox.append((name, VersionVector(self.replicas.positions(), True)))
 
     def on_message(self, name: str, now_ns: int) -> None:
-        """Any message came from a neighbour."""
+        """Records that a message of any type arrived from a neighbour."""
         self.now_ns = now_ns
         peer = self.peers[name]
-        if self._is_silent(peer):
-            self.outbox.append((name, DigestRequest(self.replicas.digest())))  # it got no announcements
+        if self._has_timed_out(peer):
+            self.outbox.append((name, DigestRequest(self.replicas.digest())))  # it was sent no announcements
         peer.last_message_at = now_ns
 
     def on_version_vector(self, name: str, message: VersionVector) -> None:
-        """A neighbour announced its positions: requests what it has, and announces what it lacks."""
+        """Handles a neighbour's positions: requests rows missing here, announces rows missing there."""
         peer = self.peers[name]
         if message.complete:
             peer.positions.clear()
@@ -98,19 +98,19 @@
         self.request_missing(name)
 
     def on_digest_request(self, name: str, message: DigestRequest) -> bool:
-        """Answers with the version vector where the digests differ; whether they are equal."""
+        """Answers with the version vector if the digests differ; returns whether they are equal."""
         is_equal = message.digest == self.replicas.digest()
         if not is_equal:
             self.outbox.append((name, VersionVector(self.replicas.positions(), True)))
         return is_equal
 
     def on_rows_request(self, name: str, message: RowsRequest) -> None:
-        """A neighbour requests rows: they are sent now, or once the rate limits allow."""
+        """Handles a neighbour's request for rows, which are sent as soon as the rate limits allow."""
         self.row_server.peers[name].pending_request = message
         self._serve(name)
 
     def on_rows_response(self, name: str, message: RowsResponse) -> set[Origin]:
-        """Applies the rows that a neighbour sent; the origins whose replicas they brought forward."""
+        """Applies the rows that a neighbour sent; returns the origins whose replicas advanced."""
         peer = self.peers[name]
         peer.requested_at = None
         advanced = set()
@@ -128,7 +128,7 @@
     # --- requests -----------------------------------------------------------------------------------
 
     def request_missing(self, name: str) -> None:
-        """Requests rows that a neighbour has and this node lacks, but for those requested elsewhere."""
+        """Requests missing rows that a neighbour has, except those already requested from another peer."""
         peer = self.peers[name]
         now_ns = self.now_ns
         timeout_ns = self.config.response_timeout_ns
@@ -148,8 +148,8 @@
                 self.requested_until[missing.origin] = now_ns + timeout_ns
             self.outbox.append((name, RowsRequest(requested)))
 
-    def lacks_rows_of(self, node: str) -> bool:
-        """Whether a neighbour is known to have rows of a node's incarnations that are lacking here."""
+    def is_missing_rows_of(self, node: str) -> bool:
+        """Whether a neighbour is known to have rows of a node's incarnations that are missing here."""
         return any(
             position.origin.node == node and catch_up.missing_rows(self.replicas, position) is not None
             for peer in self.peers.values()
@@ -205,15 +205,15 @@
         return min(deadlines)
 
     def _announce(self) -> None:
-        """Announces positions that have moved to each neighbour that has not got as far itself."""
+        """Announces changed positions to each neighbour, except those that it has already reached."""
         origins = self.replicas.unannounced
         self.replicas.unannounced = set()
         self.announce_at = None
         self.announced_at = self.now_ns
         positions = [self.replicas.position(origin) for origin in origins]
         for name, peer in self.peers.items():
-            if self._is_silent(peer):
-                continue  # bounds the link's send queue; the peer catches up by a digest once it is heard
+            if self._has_timed_out(peer):
+                continue  # bounds the link's send queue; a digest follows when the peer is heard from again
             moved = [
                 position
                 for position in positions
@@ -223,7 +223,7 @@
                 self.outbox.append((name, VersionVector(moved)))
 
     def _send_digest(self) -> None:
-        """Sends a digest to a random neighbour, which finds differences that no announcement told."""
+        """Sends a digest to a random neighbour, to find differences that no announcement has shown."""
         interval_ns = self.config.digest_interval_ns
         self.digest_at = self.now_ns + interval_ns * 3 // 4 + self.rng.randrange(interval_ns // 2)
         self.requested_until = {
@@ -236,5 +236,5 @@
         for name in self.peers:
             self.request_missing(name)
 
-    def _is_silent(self, peer: Peer) -> bool:
+    def _has_timed_out(self, peer: Peer) -> bool:
         return self.now_ns - peer.last_message_at > self.config.peer_timeout_ns
--- a/puffinpost/replication/incarnations.py
+++ b/puffinpost/replication/incarnations.py
@@ -100,7 +100,7 @@
         """Takes over when it is time, and no neighbour has more of the earlier incarnations."""
         if self.has_taken_over or self.takeover_at is None or now_ns < self.takeover_at:
             return
-        if self.gossip.lacks_rows_of(self.config.name) and self.takeover_delays < MAX_TAKEOVER_DELAYS:
+        if self.gossip.is_missing_rows_of(self.config.name) and self.takeover_delays < MAX_TAKEOVER_DELAYS:
             self.takeover_delays += 1
             self.takeover_at = now_ns + self.config.response_timeout_ns
             return
--- a/puffinpost/replication/messages.py
+++ b/puffinpost/replication/messages.py
@@ -1,7 +1,7 @@
 """Messages between members about replicated state, sent as MessagePack arrays.
 
-Tags and the order of fields are the wire format and do not change; names are free to. Ranges of sequence
-numbers are half open: (``after``, ``through``]. Sizes are in bytes.
+Tags and the order of fields are the wire format and must not change; names of classes and fields may. Ranges
+of sequence numbers are half open: (``after``, ``through``]. Sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ReplicaPosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far a node's replica of an origin is: all writes up to ``sequence`` are applied.
+    """How far a node's replica of an origin has advanced: all writes up to ``sequence`` are applied.
 
     Tombstones up to ``tombstone_floor`` have been discarded.
     """
@@ -29,20 +29,20 @@
 
 
 class VersionVector(ReplicationMessage, tag="Have"):
-    """The sender's positions; those of all origins where ``complete``, else of those that have changed."""
+    """The sender's positions: all of them if ``complete``, otherwise those that have changed."""
 
     positions: list[ReplicaPosition]
     complete: bool = False
 
 
 class DigestRequest(ReplicationMessage, tag="Look"):
-    """A digest of all the sender's positions; a receiver with another one answers with its version vector."""
+    """A digest of all the sender's positions; if the receiver's differs, it answers with a version vector."""
 
     digest: int
 
 
 class MissingRows(msgspec.Struct, frozen=True, array_like=True):
-    """The rows of an origin that the sender lacks: those after ``after``.
+    """The rows of an origin that the sender is missing: those after ``after``.
 
     The other fields are the state of the sender's replica, see `Replica`.
     """
@@ -63,8 +63,8 @@
 class RowChunk(msgspec.Struct, frozen=True, array_like=True):
     """The live rows of an origin in a range of sequence numbers, in order.
 
-    Where ``live_sequences`` is not None the chunk has no rows: it lists the sequence numbers in the range
-    that are still live as of ``tombstone_floor``, so that the receiver can prune all others.
+    If ``live_sequences`` is not None, the chunk has no rows: it lists the sequence numbers in the range that
+    are still live as of ``tombstone_floor``, so that the receiver can prune all others.
     """
 
     origin: Origin
@@ -82,7 +82,7 @@
 
 
 class RangeChecksum(msgspec.Struct, frozen=True, array_like=True):
-    """How many rows of an origin are live in a range, and the exclusive or of their checksums."""
+    """The number of an origin's live rows in a range, and the exclusive or of their checksums."""
 
     after: int
     through: int
@@ -91,15 +91,16 @@
 
 
 class RangeChecksums(ReplicationMessage, tag="Audit"):
-    """Compares one replica by ranges; ignored by a receiver whose position is another one."""
+    """Compares one replica by ranges; ignored by a receiver whose position differs."""
 
     position: ReplicaPosition
     ranges: list[RangeChecksum]
 
 
 class LiveRows(ReplicationMessage, tag="Standing"):
-    """All live sequence numbers in a range at the sender; a receiver at the same position fetches those it
-    lacks.
+    """All live sequence numbers in a range at the sender.
+
+    A receiver at the same position requests the rows that it is missing.
     """
 
     position: ReplicaPosition
@@ -116,7 +117,7 @@
 
 
 class RowsResend(ReplicationMessage, tag="Again"):
-    """The answer to a `ResendRequest`: which rows were asked for, and those that are live at the sender."""
+    """The answer to a `ResendRequest`: the requested sequence numbers, and the rows live at the sender."""
 
     position: ReplicaPosition
     sequences: list[int]
