--- a/puffinpost/replication/hybrid_clock.py
+++ b/puffinpost/replication/hybrid_clock.py
@@ -1,7 +1,7 @@
 """A hybrid logical clock, whose timestamps order the writes of different nodes.
 
-S. Kulkarni et al., Logical Physical Clocks (2014), figure 5. A timestamp is later than all that its node had
-observed when it was made, and within `MAX_CLOCK_OFFSET_MS` of some node's wall clock, however clocks step.
+S. Kulkarni et al., Logical Physical Clocks (2014), figure 5. A new timestamp is later than all that its node
+has observed, and within `MAX_CLOCK_OFFSET_MS` of some node's wall clock, even when clocks step.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import msgspec
 
-MAX_CLOCK_OFFSET_MS = 10_000  # a wall clock may be off by this much either way, so two differ by twice that
+MAX_CLOCK_OFFSET_MS = 10_000  # of a wall clock in either direction, so two may differ by twice that
 
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -49,7 +49,7 @@
     def is_plausible(self, timestamp: Timestamp) -> bool:
         """Whether a timestamp is close enough to this node's wall clock to be accepted now.
 
-        Rejects writes of a node whose clock is far ahead: they would win over all others until wall clocks
+        Rejects writes of a node whose clock is far ahead: they would override all others until wall clocks
         caught up, and advance every clock that observed them. A rejected row is requested again later.
         """
         return timestamp.physical_ms <= self.wall_clock_ms() + 2 * MAX_CLOCK_OFFSET_MS
--- a/puffinpost/replication/incarnations.py
+++ b/puffinpost/replication/incarnations.py
@@ -1,7 +1,7 @@
-"""Incarnations of nodes: the number of this node's own, and takeover from earlier ones.
+"""Incarnations of nodes: numbers this node's own incarnation, and takes over from earlier ones.
 
 A new incarnation catches up with its neighbours first, then adopts what earlier ones wrote and announces the
-takeover; replicas of superseded incarnations are deleted at all nodes. `Member` owns the manager.
+takeover; replicas of superseded incarnations are deleted on all nodes. `Member` owns the manager.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from puffinpost.replication.rows import Origin
 
 RANDOM_BITS = 20
-MAX_TAKEOVER_DELAYS = 10  # how often a takeover waits for rows of earlier incarnations that are on their way
+MAX_TAKEOVER_DELAYS = 10  # postponements of a takeover while rows of earlier incarnations are missing
 
 
-def next_incarnation(wall_clock_ms: int, latest_known: int, rng: random.Random) -> int:
-    """A number for a new incarnation, later than the known ones: its start in ms, and random bits.
+def next_incarnation(wall_clock_ms: int, latest_incarnation: int, rng: random.Random) -> int:
+    """The number of a new incarnation, higher than the latest known one: its start in ms, and random bits.
 
-    The random bits keep two incarnations apart where the wall clock was set back and the earlier one is not
+    The random bits distinguish two incarnations if the wall clock was set back and the earlier one is not
     known yet.
     """
-    start_ms = max(wall_clock_ms, (latest_known >> RANDOM_BITS) + 1)
+    start_ms = max(wall_clock_ms, (latest_incarnation >> RANDOM_BITS) + 1)
     return start_ms << RANDOM_BITS | rng.getrandbits(RANDOM_BITS)
 
 
 class IncarnationManager:
     """Takes over from this node's earlier incarnations, and applies takeovers of other nodes' incarnations.
 
-    ``is_read_only`` is set where a later incarnation of this node turns up after the takeover, which means
-    that another process runs under the node's name.
+    ``is_read_only`` is set when a later incarnation of this node appears after the takeover, which means that
+    another process runs under the node's name.
     """
 
     def __init__(
@@ -63,14 +63,14 @@
         self.takeover_delays = 0
 
     def on_caught_up(self, now_ns: int) -> None:
-        """A neighbour has announced all its positions: the takeover may follow soon."""
+        """A neighbour has announced all its positions: schedules the takeover."""
         if self.takeover_at is None:
             self.takeover_at = now_ns + self.config.takeover_delay_ns
 
     def on_positions(self, positions: Iterable[ReplicaPosition]) -> None:
-        """Looks for later incarnations of this node among a neighbour's positions.
+        """Checks a neighbour's positions for later incarnations of this node.
 
-        Before the takeover this incarnation gets a higher number, once: the clock was set back between two
+        Before the takeover, this incarnation gets a higher number, once: the clock was set back between two
         starts. Otherwise another process writes under this node's name, and this one stops writing.
         """
         incarnations = [each.origin.incarnation for each in positions if each.origin.node == self.config.name]
@@ -83,10 +83,10 @@
             return
         self._renumber(latest)
 
-    def _renumber(self, latest_known: int) -> None:
+    def _renumber(self, latest_incarnation: int) -> None:
         self.renumbered = True
         previous = self.writer.origin
-        number = next_incarnation(self.writer.clock.wall_clock_ms(), latest_known, self.rng)
+        number = next_incarnation(self.writer.clock.wall_clock_ms(), latest_incarnation, self.rng)
         self.writer.origin = Origin(self.config.name, number)
         replica = self.replicas.by_origin.get(previous)
         for row in list(replica.rows_by_sequence.values()) if replica is not None else ():
@@ -97,7 +97,7 @@
         return None if self.has_taken_over else self.takeover_at
 
     def tick(self, now_ns: int) -> None:
-        """Takes over when it is time, and no neighbour has more of the earlier incarnations."""
+        """Takes over when it is due; postponed while a neighbour has more of the earlier incarnations."""
         if self.has_taken_over or self.takeover_at is None or now_ns < self.takeover_at:
             return
         if self.gossip.is_missing_rows_of(self.config.name) and self.takeover_delays < MAX_TAKEOVER_DELAYS:
@@ -119,9 +119,9 @@
             self.replicas.supersede(origin.node, origin.incarnation, adopted_through)
 
     def apply_takeovers(self) -> None:
-        """Deletes the replicas of incarnations that were taken over from.
+        """Deletes the replicas of incarnations that a later one has taken over from.
 
-        Rows that were not adopted there, and that any node may write, become this node's own.
+        Rows that the later one has not adopted become this node's own if any node may write their kind.
         """
         takeovers = [row_key for row_key in self.replicas.rows_by_key if row_key[0] == INCARNATION]
         for kind, node in takeovers:
@@ -129,5 +129,5 @@
                 takeover = decode_value(row, Incarnation)
                 if takeover is None or origin.node != node:
                     continue
-                left = self.replicas.supersede(node, origin.incarnation, takeover.adopted_through)
-                self.writer.adopt([row for row in left if row.kind in MULTI_WRITER_KINDS])
+                not_adopted = self.replicas.supersede(node, origin.incarnation, takeover.adopted_through)
+                self.writer.adopt([row for row in not_adopted if row.kind in MULTI_WRITER_KINDS])
--- a/puffinpost/replication/local_writer.py
+++ b/puffinpost/replication/local_writer.py
@@ -1,6 +1,6 @@
-"""Writes of this node's own incarnation, the origin of which no other node writes rows.
+"""Writes rows of this node's own incarnation, an origin under which no other node writes.
 
-`Member` writes new values through it, `IncarnationManager` rows that are adopted from other incarnations.
+`Member` uses it to write new values, and `IncarnationManager` to adopt rows of other incarnations.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
         return self.replicas.rows_at(kind, key).get(self.origin)
 
     def adopt(self, rows: list[Row]) -> None:
-        """Writes rows of other incarnations as this origin's own, with their timestamps.
+        """Writes rows of other incarnations as this origin's own, and keeps their timestamps.
 
-        Left out are kinds that end with their incarnation, tombstones, and rows older than this origin's own.
+        Skips rows of kinds that are not inherited, tombstones, and rows older than this origin's own.
         """
         for row in rows:
             if row.kind not in INHERITED_KINDS or row.value is None:
@@ -56,21 +56,21 @@
                 self.append(row.kind, row.key, row.timestamp, row.value)
 
     def collect_garbage(self, tombstone_retention_ms: int) -> None:
-        """Replaces overridden rows by tombstones, and discards tombstones older than the retention."""
+        """Replaces obsolete rows with tombstones, and discards tombstones older than the retention."""
         replica = self.replicas.by_origin.get(self.origin)
         if replica is None:
             return
         expired_before_ms = self.clock.wall_clock_ms() - tombstone_retention_ms
-        mergeable = [
+        multi_writer_rows = [
             row for row in replica.rows.values() if row.kind in MULTI_WRITER_KINDS and row.value is not None
         ]
-        for row in mergeable:
+        for row in multi_writer_rows:
             if self._is_obsolete(row, expired_before_ms):
                 self.append(row.kind, row.key, self.clock.now(), None)
         self.replicas.discard_tombstones(self.origin, expired_before_ms)
 
     def _is_obsolete(self, row: Row, expired_before_ms: int) -> bool:
-        """Whether another origin's later write wins, or the row is an old lifted ban with nothing to lift."""
+        """Whether another origin's later write wins, or the row is the only one and an old lifted ban."""
         other_rows = {
             origin: other
             for origin, other in self.replicas.rows_at(row.kind, row.key).items()
--- a/puffinpost/replication/member.py
+++ b/puffinpost/replication/member.py
@@ -1,7 +1,7 @@
-"""One member of the cluster that replicates state: all of a node's part, without I/O.
+"""One member of the cluster that replicates state: a node's entire part, without I/O.
 
-The driver hands in messages and the time, stores the changes that `Member.take_output` returns, and sends its
-messages. Received rows are in force at once: those not on disk yet are requested again after a crash.
+The driver passes in messages and the time, stores the changes that `Member.take_output` returns, and sends
+its messages. Received rows take effect at once; those not yet on disk are requested again after a crash.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """Changes to store, messages (each with its receiver) to send after that, and keys that have changed."""
+    """Changes to store, messages to send (each with its receiver), and keys whose rows have changed."""
 
     changes: PendingChanges
     messages: list[tuple[str, Message]]
@@ -47,7 +47,7 @@
 
 
 class Member:
-    """This node as a member. ``wall_clock_ms`` returns Unix time; ``count`` counts faults by name."""
+    """This node as a member. ``wall_clock_ms`` returns Unix time; ``count`` increments a counter by name."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self.anti_entropy = AntiEntropy(config, self.replicas, self.gossip, rng, count)
         self.anti_entropy_at = now_ns + config.anti_entropy_interval_ns
         self.anti_entropy_rounds = 0
-        self.updated_at: dict[Origin, int] = {}  # when a replica was brought forward last, in ns
+        self.updated_at: dict[Origin, int] = {}  # when each replica last advanced, in ns
         self.incarnations.apply_takeovers()
 
     # --- for the rest of the node -------------------------------------------------------------------
@@ -94,7 +94,7 @@
 
     @property
     def is_read_only(self) -> bool:
-        """Whether another process runs under this node's name, so that this one writes no more."""
+        """Whether another process runs under this node's name, so that this one has stopped writing."""
         return self.incarnations.is_read_only
 
     def write(self, kind: str, key: str, value: RowValue | None) -> None:
@@ -103,13 +103,13 @@
             self.writer.write(kind, key, value)
 
     def recently_updated(self, within_ns: int) -> set[Origin]:
-        """Origins of which a new row came within the time."""
+        """Origins whose replicas have advanced in the last ``within_ns``."""
         return {origin for origin, at_ns in self.updated_at.items() if self.now_ns - at_ns <= within_ns}
 
     # --- for the driver -----------------------------------------------------------------------------
 
     def receive(self, sender: str, message: Message, now_ns: int) -> None:
-        """Handles a message; one from a node that is not a neighbour is counted and dropped."""
+        """Handles a message. A message from a node that is not a neighbour is counted and dropped."""
         self.now_ns = now_ns
         if sender not in self.gossip.peers:
             self.count("replica_no_neighbour")
@@ -157,7 +157,7 @@
         return min(deadlines)
 
     def take_output(self) -> Output:
-        """What has accumulated since the last call."""
+        """Returns and clears what has accumulated since the last call."""
         output = Output(self.replicas.changes, self.gossip.outbox, self.replicas.changed_keys)
         self.replicas.changes = PendingChanges()
         self.gossip.outbox = []
--- a/puffinpost/replication/member_config.py
+++ b/puffinpost/replication/member_config.py
@@ -1,6 +1,6 @@
-"""The configuration of one member: who it is, who the others are, rate limits and intervals.
+"""The configuration of one member: its name, all members, rate limits and intervals.
 
-The driver makes it from the settings; fields without a setting keep their defaults outside of tests.
+The driver creates it from the settings; fields without a setting keep their defaults outside of tests.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberConfig:
-    """Durations in ns but where the name has another unit.
+    """Durations are in ns unless the name has another unit.
 
-    ``rate_per_peer`` is how many bytes of rows a second one peer may take from this node; all together may
-    take a multiple of it, see `token_bucket`. ``max_message_bytes`` bounds the rows in one message, so that
-    other traffic on the link does not wait for longer.
+    ``rate_per_peer`` limits the bytes of rows that this node sends to one peer in a second; the limit for all
+    peers together is a multiple of it, see `token_bucket`. ``max_message_bytes`` limits the rows in one
+    message, which bounds how long other traffic on the link waits.
     """
 
     name: str
@@ -28,7 +28,7 @@
     max_message_bytes: int = 48 * 1024
     tombstone_retention_ms: int = 24 * 3600 * 1000
     announce_delay_ns: int = 20 * MS  # changes within this time are announced together
-    announce_interval_ns: int = 100 * MS  # the least time between announcements: messages cost more than rows
+    announce_interval_ns: int = 100 * MS  # minimum between announcements: messages cost more than rows
     digest_interval_ns: int = 1 * S  # between two digests sent to a random peer
     response_timeout_ns: int = 500 * MS  # before the rows are requested from another peer
     peer_timeout_ns: int = 3 * S  # a peer not heard from for this long gets no announcements
