--- a/puffinpost/replication/catch_up.py
+++ b/puffinpost/replication/catch_up.py
@@ -96,7 +96,7 @@
         if chunk.tombstone_floor > replica.tombstone_floor:
             replicas.raise_tombstone_floor(origin, replica, chunk.tombstone_floor)
     if replica.sequence > sequence_before:
-        replicas.position_moved(origin)
+        replicas.mark_position_changed(origin)
     return replica.sequence > sequence_before
 
 
--- a/puffinpost/replication/merge.py
+++ b/puffinpost/replication/merge.py
@@ -1,6 +1,6 @@
-"""Merge functions: what the rows that several origins wrote under one key mean together.
+"""Merge functions: derive one value from the rows that several origins wrote under one key.
 
-Each is a function of the rows alone, whatever their order, so two nodes with the same rows read the same.
+The result does not depend on the order of the rows, so two nodes with the same rows get the same result.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from puffinpost.replication.row_values import Ban, EndpointObservation, TenantUsage, decode_value
 from puffinpost.replication.rows import Origin, Row
 
-CAPACITY_HALF_LIFE_MS = 60_000  # an observed capacity counts for half after this
-FAULT_FRESHNESS_MS = 10_000  # faults are ignored after this: the endpoint may have recovered
-MIN_TOTAL_WEIGHT = 1e-6  # below this the mean of observed capacities means nothing
+CAPACITY_HALF_LIFE_MS = 60_000  # age at which an observed capacity has half its weight
+MAX_FAULT_AGE_MS = 10_000  # older faults are ignored: the endpoint may have recovered
+MIN_TOTAL_WEIGHT = 1e-6  # below this, the mean of observed capacities is not meaningful
 
 
 def last_write(rows: dict[Origin, Row]) -> tuple[Origin, Row] | None:
@@ -23,7 +23,7 @@
 
 
 def effective_ban(rows: dict[Origin, Row]) -> Ban | None:
-    """The ban of an endpoint that is in force; None where there is none or the last one was lifted."""
+    """The ban of an endpoint that is in force; None if there is none or the last write lifted it."""
     winner = last_write(rows)
     if winner is None:
         return None
@@ -37,7 +37,7 @@
 
 
 def current_rows(rows: dict[Origin, Row]) -> dict[Origin, Row]:
-    """Of each node's rows under a key, those of its latest incarnation that has one."""
+    """Each node's row under a key, from its latest incarnation that has one."""
     incarnations: dict[str, int] = {}
     for origin in rows:
         incarnations[origin.node] = max(incarnations.get(origin.node, 0), origin.incarnation)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedObservation:
-    """What the other nodes have learned of an endpoint; a capacity of 0 is not known."""
+    """What the other nodes have learned about an endpoint. A capacity of 0 means that it is unknown."""
 
     connection_capacity: float
     ejected_ms: int
@@ -56,12 +56,12 @@
 def merge_observations(
     rows: dict[Origin, Row], excluded_node: str, started_ns: int, now_ms: int
 ) -> MergedObservation:
-    """Merges the observations of an endpoint whose process started at ``started_ns``, but for one node's own.
+    """Merges the observations of an endpoint whose process started at ``started_ns``, except one node's own.
 
-    The capacity is the mean of the observed ones, weighted by the answers that each rests on and halved by
-    each `CAPACITY_HALF_LIFE_MS` of age; it outlives the endpoint's process, because the machine stays. Faults
-    belong to the process and the moment: of the nodes that reported within `FAULT_FRESHNESS_MS`, more than
-    half have to eject the endpoint, for the least time that more than half of them agree on.
+    The capacity is the mean of the observed ones, weighted by the attempts that each is based on and halved
+    by each `CAPACITY_HALF_LIFE_MS` of age; it stays valid after a restart of the endpoint's process, because
+    the machine is the same. Faults belong to one process and expire: the endpoint is ejected for as long as
+    more than half of the nodes that reported within `MAX_FAULT_AGE_MS` agree on.
     """
     weighted_sum = total_weight = 0.0
     ejections_ms: list[int] = []
@@ -76,7 +76,7 @@
             weight = max(observation.weight, 0.0) * 0.5 ** (age_ms / CAPACITY_HALF_LIFE_MS)
             weighted_sum += weight * capacity
             total_weight += weight
-        if observation.started_ns == started_ns and age_ms <= FAULT_FRESHNESS_MS:
+        if observation.started_ns == started_ns and age_ms <= MAX_FAULT_AGE_MS:
             ejections_ms.append(max(0, observation.ejected_ms - age_ms))
             stalls.append(observation.stalled)
     return MergedObservation(
@@ -87,7 +87,7 @@
 
 
 def _majority_ejection_ms(ejections_ms: list[int]) -> int:
-    """The longest time for which more than half of the nodes eject; 0 where fewer than two nodes reported."""
+    """The longest time for which more than half of the nodes eject; 0 if fewer than two nodes reported."""
     if len(ejections_ms) < 2:
         return 0
     descending = sorted(ejections_ms, reverse=True)
@@ -99,8 +99,8 @@
 ) -> tuple[tuple[float, ...], int]:
     """What the other nodes have in flight by tenant, and how many of them reported.
 
-    Only origins that were updated lately (``live_origins``) count. For each other node the mean of those that
-    did report is assumed; the sums are empty where none did.
+    Only origins that were updated recently (``live_origins``) count. Each other node is assumed to have the
+    mean of those that reported; the sums are empty if none did.
     """
     reported: list[tuple[int, ...]] = []
     for origin, row in current_rows(rows).items():
--- a/puffinpost/replication/publisher.py
+++ b/puffinpost/replication/publisher.py
@@ -1,7 +1,7 @@
-"""Decides when this node's observations and counts are worth publishing to the other nodes.
+"""Decides when this node's observations and counts are published to the other nodes.
 
-A value is published when it has changed by enough, and again now and then so that it does not expire at the
-others. `ReplicatedState` asks for each value and writes those that are to be published.
+A value is published when it has changed enough, and at intervals so that it does not expire at the other
+nodes. `ReplicatedState` calls it for each value and writes those that are to be published.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-MIN_RELATIVE_CHANGE = 0.1  # of a figure, before it is published again
+MIN_RELATIVE_CHANGE = 0.1  # of a number, before it is published again
 REFRESH_INTERVAL_NS = 30 * NS_PER_S  # observations are published again after this
-MIN_INTERVAL_NS = 1 * NS_PER_S  # between two publications of one value, unless it is urgent
-MIN_EJECTION_EXTENSION_MS = 500  # a longer ejection is published where it is longer by this
+MIN_INTERVAL_NS = 1 * NS_PER_S  # between two publications of one value, unless the fault state changed
+MIN_EJECTION_EXTENSION_MS = 500  # an ejection extended by more than this is published
 
 
 def has_changed(before: float, after: float) -> bool:
-    """Whether a figure has changed by enough to be published."""
+    """Whether a number has changed enough to be published."""
     return abs(after - before) > MIN_RELATIVE_CHANGE * max(abs(before), abs(after))
 
 
@@ -43,7 +43,7 @@
     def should_publish_observation(
         self, endpoint: str, observation: EndpointObservation, now_ns: int
     ) -> bool:
-        """Whether to publish what is learned of an endpoint. Nothing is learned before the first attempt."""
+        """Whether to publish an observation of an endpoint; it is empty before the first attempt."""
         if not (observation.weight or observation.ejected_ms or observation.connection_capacity):
             return False
         row_key = ENDPOINT_OBSERVATION, endpoint
@@ -54,7 +54,7 @@
         assert isinstance(previous, EndpointObservation)
         age_ns = now_ns - published_at
         is_due = (
-            _has_new_fault(previous, observation, age_ns)
+            _fault_state_changed(previous, observation, age_ns)
             or age_ns > REFRESH_INTERVAL_NS
             or (
                 age_ns > MIN_INTERVAL_NS
@@ -89,8 +89,10 @@
         return True
 
 
-def _has_new_fault(previous: EndpointObservation, observation: EndpointObservation, age_ns: int) -> bool:
-    """Whether the endpoint has restarted, stalled, recovered, or is ejected otherwise than was published."""
+def _fault_state_changed(
+    previous: EndpointObservation, observation: EndpointObservation, age_ns: int
+) -> bool:
+    """Whether the endpoint has restarted, stalled or recovered, or its ejection is not as published."""
     ejection_left_ms = max(0, previous.ejected_ms - age_ns // NS_PER_MS)
     return (
         previous.stalled != observation.stalled
--- a/puffinpost/replication/range_checksum.py
+++ b/puffinpost/replication/range_checksum.py
@@ -1,8 +1,8 @@
-"""Range checksums, by which two replicas of an origin find rows that one of them has lost.
+"""Range checksums, with which two replicas of an origin find rows that one of them has lost.
 
 A range that differs is split into smaller ones until its rows can be listed (as in the hash trees of
-G. DeCandia et al., Dynamo (2007), section 4.7, over sequence numbers in place of keys): what is exchanged
-grows with the number of differences, and with the logarithm of the number of rows.
+G. DeCandia et al., Dynamo (2007), section 4.7, but over sequence numbers instead of keys). The traffic grows
+with the number of differences, and with the logarithm of the number of rows.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 def checksum_range(replica: Replica, after: int, through: int) -> RangeChecksum:
     """The checksum of the rows in (``after``, ``through``].
 
-    That of the whole replica is kept up to date with each write, so that a periodic comparison does not walk
-    all rows on the event loop.
+    The checksum of the whole replica is updated with each write, so that a periodic comparison does not
+    iterate over all rows on the event loop.
     """
     if after == 0 and through >= replica.sequence:
         return RangeChecksum(after, through, len(replica.rows), replica.checksum)
--- a/puffinpost/replication/repair.py
+++ b/puffinpost/replication/repair.py
@@ -1,4 +1,4 @@
-"""Repair of rows that a replica should have and lacks: damaged on disk, or found missing by anti-entropy.
+"""Repair of rows that are missing from a replica: damaged on disk, or found missing by anti-entropy.
 
 `AntiEntropy` and `Member` call these functions; peers' rows are verified before they are stored.
 """
@@ -18,7 +18,7 @@
 
 
 def apply_resend(replicas: ReplicaSet, message: RowsResend) -> int:
-    """Stores the rows that a peer resent; the number of rows that were restored."""
+    """Stores the rows that a peer resent; returns how many were restored."""
     origin = message.position.origin
     replica = replicas.by_origin.get(origin)
     if replica is None or replicas.is_superseded(origin):
@@ -30,7 +30,7 @@
         if row.sequence <= replica.sequence and is_newer and replicas.accepts(origin, row):
             replicas.put_row(origin, replica, row)
             restored += 1
-    # A row that is not live at a peer which has applied all writes up to it has been overwritten since.
+    # A row that is not live at a peer that has applied all writes up to it has been overwritten.
     resolved = [
         sequence
         for sequence in message.sequences
@@ -50,4 +50,4 @@
         (origin, sequence) for sequence in resolved if sequence not in replica.rows_by_sequence
     ]
     replica.damaged -= resolved
-    replicas.position_moved(origin)
+    replicas.mark_position_changed(origin)
--- a/puffinpost/replication/replica.py
+++ b/puffinpost/replication/replica.py
@@ -1,6 +1,6 @@
 """One origin's rows as a node has them, by key and by sequence number.
 
-`ReplicaSet` owns the replicas and is the only one that changes them.
+`ReplicaSet` owns the replicas; no other package changes them.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     pruning_floor: int = 0
     pruned_through: int = 0
     rows: dict[RowKey, Row] = field(default_factory=dict)
-    rows_by_sequence: Any = field(default_factory=SortedDict)  # int to Row; the library has no types
+    rows_by_sequence: Any = field(default_factory=SortedDict)  # int to Row; sortedcontainers has no types
     checksum: int = 0  # exclusive or of the checksums of all rows
-    damaged: set[int] = field(default_factory=set)  # unreadable on disk, until a peer resends them
+    damaged: set[int] = field(default_factory=set)  # damaged on disk, until repaired or given up
 
     def put(self, row: Row) -> None:
         """Stores a row that is newer than the one under its key."""
@@ -43,7 +43,7 @@
         self.checksum ^= row.checksum
 
     def remove(self, sequence: int) -> Row | None:
-        """Removes the row with the sequence number, and returns it; None where there is none."""
+        """Removes the row with the sequence number, and returns it; None if there is none."""
         row: Row | None = self.rows_by_sequence.pop(sequence, None)
         if row is not None:
             del self.rows[row.row_key]
--- a/puffinpost/replication/replica_set.py
+++ b/puffinpost/replication/replica_set.py
@@ -1,8 +1,8 @@
 """All replicas at a node: what each origin has written, as far as it is known here.
 
 R. van Renesse et al., Efficient Reconciliation and Flow Control for Anti-Entropy Protocols (2008): each
-origin numbers its writes, a replica is a prefix of them of which only the last write under a key is live, and
-one sequence number says all that a replica lacks. `catch_up` and `repair` apply what peers send.
+origin numbers its writes, a replica is a prefix of them in which only the last write under a key is live, and
+one sequence number describes all that a replica is missing. `catch_up` and `repair` apply what peers send.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
     """Replicas by origin, and an index of their rows by key.
 
     Replicas of one origin never conflict; rows that several origins write under one key are merged when they
-    are read (`merge`). ``is_plausible`` says whether a row's timestamp may be accepted now; ``count`` counts
-    faults by name.
+    are read (`merge`). ``is_plausible`` returns whether a row's timestamp can be accepted now; ``count``
+    increments a counter by name.
     """
 
     def __init__(self, is_plausible: Callable[[Row], bool], count: Callable[[str], None]) -> None:
@@ -32,7 +32,7 @@
         self.rows_by_key: dict[RowKey, dict[Origin, Row]] = {}
         self.latest_incarnations: dict[str, int] = {}  # by node, the one that has superseded all earlier ones
         self.changes = PendingChanges()  # taken by the member for the driver to store
-        self.unannounced: set[Origin] = set()  # whose positions have moved; cleared by the announcement
+        self.unannounced: set[Origin] = set()  # whose positions have changed; cleared by the announcement
         self.changed_keys: set[RowKey] = set()  # taken by the member for the driver to report
 
     # --- local writes -------------------------------------------------------------------------------
@@ -43,7 +43,7 @@
         assert row.sequence == replica.sequence + 1, (row.sequence, replica.sequence)
         self.put_row(origin, replica, row)
         replica.sequence = row.sequence
-        self.position_moved(origin)
+        self.mark_position_changed(origin)
 
     def discard_tombstones(self, origin: Origin, before_ms: int) -> int:
         """Discards this node's own tombstones from before ``before_ms``, and returns their number."""
@@ -58,10 +58,11 @@
         return len(expired)
 
     def supersede(self, node: str, incarnation: int, adopted_through: dict[int, int]) -> list[Row]:
-        """Deletes the replicas of a node's earlier incarnations, for good.
+        """Deletes the replicas of a node's earlier incarnations permanently.
 
-        Returns their rows after the sequence numbers in ``adopted_through``: the new incarnation has not
-        adopted them, so whoever has them must write them again, or a write that got no further would be lost.
+        Returns their rows after the sequence numbers in ``adopted_through``. The new incarnation has not
+        adopted these: a node that has them must write them again, or a write that reached only that node
+        would be lost.
         """
         if incarnation <= self.latest_incarnations.get(node, 0):
             return []
@@ -98,14 +99,14 @@
         return replica.sequence if replica is not None else 0
 
     def stored_positions(self) -> dict[Origin, ReplicaPosition]:
-        """Positions as they are stored on disk, where damaged rows stay until they are repaired."""
+        """Positions as stored on disk, not limited by damaged rows, which stay there until repaired."""
         return {
             origin: ReplicaPosition(origin, replica.sequence, replica.tombstone_floor)
             for origin, replica in self.by_origin.items()
         }
 
     def digest(self) -> int:
-        """A digest of all positions; two nodes have the same one where their positions are equal."""
+        """A digest of all positions; nodes with equal positions have equal digests."""
         text = "".join(
             f"{position.origin.node}\0{position.origin.incarnation}\0"
             f"{position.sequence}\0{position.tombstone_floor}\0"
@@ -150,14 +151,14 @@
     # --- changes, for this package only -------------------------------------------------------------
 
     def get_or_create(self, origin: Origin) -> Replica:
-        """The replica of an origin, a new and empty one where there is none."""
+        """The replica of an origin; a new, empty one if there is none."""
         replica = self.by_origin.get(origin)
         if replica is None:
             replica = self.by_origin[origin] = Replica()
         return replica
 
     def accepts(self, origin: Origin, row: Row) -> bool:
-        """Whether a row from a peer is intact and not from the future; counts those that are not."""
+        """Whether a row from a peer is intact and its timestamp plausible; counts rejected rows."""
         if not is_intact(origin, row):
             self.count("replica_damaged")
             return False
@@ -184,16 +185,16 @@
             self.changes.deleted.append((origin, sequence))
 
     def raise_tombstone_floor(self, origin: Origin, replica: Replica, floor: int) -> None:
-        """Discards the tombstones up to a sequence number."""
+        """Raises the tombstone floor to a sequence number, and discards the tombstones up to it."""
         for row in [each for each in replica.rows_between(0, floor) if each.value is None]:
             self.remove_row(origin, replica, row.sequence)
         replica.tombstone_floor = floor
-        self.position_moved(origin)
+        self.mark_position_changed(origin)
 
-    def position_moved(self, origin: Origin) -> None:
+    def mark_position_changed(self, origin: Origin) -> None:
         """Marks the position of a replica to be announced and stored."""
         self.unannounced.add(origin)
-        self.changes.moved_origins.add(origin)
+        self.changes.changed_origins.add(origin)
 
     def _unindex(self, origin: Origin, row: Row) -> None:
         rows = self.rows_by_key[row.row_key]
--- a/puffinpost/replication/row_server.py
+++ b/puffinpost/replication/row_server.py
@@ -1,7 +1,7 @@
 """Answers peers' requests for rows, within rate limits for each peer and for all of them together.
 
-`Gossip` owns the server. One request of each peer is pending at most, so peers that do not read their
-responses cost no memory.
+`Gossip` owns the server. At most one request of each peer is pending, so peers that do not read their
+responses use no memory.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class PeerAllowance:
-    """One peer's rate limit, and the request that waits for it."""
+    """One peer's rate limit, and the request that is delayed by it."""
 
     bucket: TokenBucket
     pending_request: RowsRequest | None = None
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class RowServer:
-    """Serves rows of one node's replicas. Times are in ns."""
+    """Serves rows of this node's replicas. Times are in ns."""
 
     config: MemberConfig
     replicas: ReplicaSet
@@ -44,7 +44,7 @@
         return cls(config, replicas, total, peers)
 
     def serve(self, name: str, now_ns: int) -> RowsResponse | None:
-        """The response to a peer's pending request; None without one, or while a rate limit is exceeded."""
+        """The response to a peer's pending request; None if there is none or a rate limit is exceeded."""
         peer = self.peers[name]
         if peer.pending_request is None or not (peer.bucket.ready(now_ns) and self.total.ready(now_ns)):
             return None
@@ -62,7 +62,7 @@
         return RowsResponse(chunks)
 
     def next_deadline(self, name: str, now_ns: int) -> int | None:
-        """When a peer's pending request can be served; None without one."""
+        """When a peer's pending request can be served; None if there is none."""
         peer = self.peers[name]
         if peer.pending_request is None:
             return None
--- a/puffinpost/replication/row_values.py
+++ b/puffinpost/replication/row_values.py
@@ -1,7 +1,7 @@
 """The kinds of rows and their values, with the encoding of values.
 
-The strings below are the kinds' names on the wire, on disk and in the operators' answers; they never change,
-and no other module writes them.
+The strings below are the kinds' names on the wire, on disk and in operators' output; they must not change,
+and no other module spells them out.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 ATTEMPT_COUNTS = "sends"
 INCARNATION = "@life"
 
-# Rows that an incarnation adopts from the node's earlier ones; all others are dropped with their incarnation.
+# Kinds that an incarnation adopts from the node's earlier ones; others are dropped with their incarnation.
 INHERITED_KINDS = frozenset({BAN, ENDPOINT_OBSERVATION})
-# Rows that several nodes write under one key; the last writer wins.
+# Kinds that several nodes write under one key; the last writer wins.
 MULTI_WRITER_KINDS = frozenset({BAN})
 
 ValueT = TypeVar("ValueT")
@@ -31,7 +31,7 @@
 
 
 class Ban(RowValue):
-    """An operator's ban of a transcriber since Unix time ``since_ns``; 0 means that the ban is lifted."""
+    """An operator's ban of an endpoint since Unix time ``since_ns``; 0 means that the ban is lifted."""
 
     since_ns: int
     issued_by: str = ""
@@ -39,11 +39,11 @@
 
 
 class EndpointObservation(RowValue):
-    """What one node has learned of an endpoint.
+    """What one node has learned about an endpoint.
 
-    ``started_ns`` is when the endpoint's process started, by the endpoint list. ``connection_capacity`` is 0
-    where it is not known; ``ejected_ms`` is how much longer the node ejects the endpoint; ``weight`` is the
-    number of answers that the observation rests on.
+    ``started_ns`` is when the endpoint's process started, according to the endpoint list.
+    ``connection_capacity`` is 0 if it is unknown; ``ejected_ms`` is how much longer the node ejects the
+    endpoint; ``weight`` is the number of attempts that the observation is based on.
     """
 
     started_ns: int
@@ -67,7 +67,7 @@
 
 
 class Incarnation(RowValue):
-    """A node's incarnation has taken over from earlier ones.
+    """Records that an incarnation of a node has taken over from earlier ones.
 
     ``adopted_through`` has, by earlier incarnation, the sequence number up to which its rows were adopted.
     """
@@ -81,7 +81,7 @@
 
 
 def decode_value(row: Row, value_type: type[ValueT]) -> ValueT | None:
-    """The value of a row; None for a tombstone, and for a value that is not of the type."""
+    """The value of a row; None for a tombstone, and for a value that does not decode as the type."""
     if row.value is None:
         return None
     try:
--- a/puffinpost/replication/rows.py
+++ b/puffinpost/replication/rows.py
@@ -34,7 +34,7 @@
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """One write of an origin. A row without a value is a tombstone.
 
-    ``sequence`` is the origin's number for the write, from 1 on; ``value`` is MessagePack. Unknown kinds, and
+    ``sequence`` is the origin's number of the write, from 1; ``value`` is MessagePack. Unknown kinds, and
     unknown fields at the end of a value, come from newer versions and are stored and passed on unchanged.
     """
 
@@ -59,12 +59,12 @@
 def row_checksum(
     origin: Origin, sequence: int, kind: str, key: str, timestamp: Timestamp, value: bytes | None
 ) -> int:
-    """The checksum that goes with a row from its origin to the disk of each replica."""
-    head = (
+    """The checksum that accompanies a row from its origin to the disk of each replica."""
+    prefix = (
         f"{origin.node}\0{origin.incarnation}\0{sequence}\0{kind}\0{key}\0"
         f"{timestamp.physical_ms}\0{timestamp.logical}\0{timestamp.node}\0"
     )
-    return xxhash.xxh3_64_intdigest(head.encode() + (b"-" if value is None else b"+" + value))
+    return xxhash.xxh3_64_intdigest(prefix.encode() + (b"-" if value is None else b"+" + value))
 
 
 def create_row(
@@ -76,5 +76,5 @@
 
 
 def is_intact(origin: Origin, row: Row) -> bool:
-    """Whether the row is what its origin wrote."""
+    """Whether the row's checksum matches, that is, the row is what its origin wrote."""
     return row.checksum == row_checksum(origin, row.sequence, row.kind, row.key, row.timestamp, row.value)
--- a/puffinpost/replication/token_bucket.py
+++ b/puffinpost/replication/token_bucket.py
@@ -1,6 +1,6 @@
 """A token bucket in bytes, which limits what a node sends to peers that catch up.
 
-`Gossip` has one for each peer and one for all of them together.
+`RowServer` has one for each peer and one for all of them together.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
         self.refilled_at_ns = now_ns
 
     def ready(self, now_ns: int) -> bool:
-        """Refills the bucket; whether anything may be sent now."""
+        """Refills the bucket, and returns whether anything may be sent now."""
         refill = self.rate * (now_ns - self.refilled_at_ns) / NS_PER_S
         self.tokens = min(self.rate * BURST_S, self.tokens + refill)
         self.refilled_at_ns = now_ns
@@ -32,5 +32,5 @@
         return now_ns + int(-self.tokens / self.rate * NS_PER_S) + 1
 
     def spend(self, size: int) -> None:
-        """Takes the bytes of a message that was sent."""
+        """Removes tokens for the bytes of a message that was sent."""
         self.tokens -= size
--- a/puffinpost/replication/topology.py
+++ b/puffinpost/replication/topology.py
@@ -1,8 +1,8 @@
 """Which members exchange messages: each with those 1, 2, 4, 8, ... places before and after it by name.
 
-I. Stoica et al., Chord (2001), has the fingers; here they go both ways, so that links are mutual. A member
-has fewer than 2 log2(N) neighbours, any other is at most half as many hops away, and between two members
-there are as many disjoint paths as they have neighbours, so a third of the links may fail.
+These are the fingers of I. Stoica et al., Chord (2001), but in both directions, so that links are mutual. A
+member has fewer than 2 log2(N) neighbours and at most half as many hops to any other member. Between two
+members there are as many disjoint paths as they have neighbours, so a third of the links may fail.
 """
 
 from __future__ import annotations
