--- a/puffinpost/discovery/endpoint_list.py
+++ b/puffinpost/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
 """The endpoint list as discovery has reported it, with the names, ids and addresses of the endpoints.
 
 The coordinator applies each answer and passes the resulting update to the balancer. An endpoint's id is a
-hash of its name, the same at every node and after every restart, since balancing decisions depend on it.
+hash of its name, the same on every node and after every restart, since balancing decisions depend on it.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class EndpointListError(PuffinpostError, ValueError):
-    """An answer, or one entry of it, is invalid; ``endpoint`` names the entry, where it has a name."""
+    """An answer or one of its entries is invalid. ``endpoint``: the entry's name; None for an answer."""
 
     def __init__(self, reason: str, endpoint: str | None = None) -> None:
         super().__init__(reason if endpoint is None else f"{endpoint}: {reason}")
@@ -52,14 +52,14 @@
 class EndpointList:
     """The state of all endpoints, from the answers so far.
 
-    Endpoints that are gone keep their status and their address: an outdated answer may still name them, and
-    established connections do.
+    Removed endpoints keep their status and their address: an outdated answer may still name them, and
+    established connections still refer to them.
     """
 
     zones: Sequence[str]
     endpoint_types: Sequence[str]
     index: int = 0  # discovery's version of the list
-    discovery_changed: bool = False  # redirected to another discovery, whose full list has not come yet
+    discovery_changed: bool = False  # redirected to another discovery, before its full list is received
     invalid_entries: list[str] = field(default_factory=list)  # errors in the last answer
     addresses: dict[EndpointId, tuple[str, int]] = field(default_factory=dict)
     statuses: dict[EndpointId, EndpointStatus] = field(default_factory=dict)
@@ -71,15 +71,16 @@
         """Applies an answer, and returns it as an event for the balancer.
 
         Raises ``EndpointListError`` and changes nothing if the answer is not a list. An invalid entry is
-        recorded in ``invalid_entries`` while the others are applied, so that one of them that drains is not
-        missed; the endpoint of an invalid entry receives no new work until it has a valid one.
+        recorded in ``invalid_entries`` while the others are applied, so that a drain in one of them is not
+        missed; the endpoint of an invalid entry receives no new work until it has a valid entry.
         """
         index, is_full, entries = answer.get("index"), answer.get("snapshot"), answer.get("endpoints")
         if not isinstance(index, int) or not isinstance(is_full, bool) or not isinstance(entries, list):
             raise EndpointListError("index, snapshot or endpoints is missing or of the wrong type")
         updates, addresses = self._read_entries(entries, index)
         if is_full:
-            # Endpoints that are left out are gone. Their status is kept, for an outdated list may name them.
+            # Endpoints that are not in a full list are removed. Their status is kept, since an outdated list
+            # may name them.
             self.statuses = dict.fromkeys(self.statuses, EndpointStatus.REMOVED)
             self.discovery_changed = False
         for update in updates:
@@ -92,12 +93,12 @@
     def _read_entries(
         self, entries: list[Any], index: int
     ) -> tuple[list[EndpointEntry], dict[EndpointId, tuple[str, int]]]:
-        """The entries of an answer, and the addresses of those that are not removed."""
+        """Reads the entries of an answer, and the addresses of the endpoints that are not removed."""
         updates: list[EndpointEntry] = []
         addresses: dict[EndpointId, tuple[str, int]] = {}
         named = [entry for entry in entries if isinstance(entry, dict) and isinstance(entry.get("name"), str)]
         self.invalid_entries = ["an entry has no name"] * (len(entries) - len(named))
-        # Sorted, so that names with the same hash are given the same ids at every node.
+        # Sorted, so that names with the same hash get the same ids on every node.
         for entry in sorted(named, key=lambda item: str(item["name"])):
             try:
                 update = self._read_entry(entry)
@@ -105,10 +106,10 @@
                     addresses[update.endpoint] = _read_address(entry)
             except EndpointListError as problem:
                 self.invalid_entries.append(str(problem))
-                known_id = self._ids.get(entry["name"])
-                if known_id is None:
+                existing_id = self._ids.get(entry["name"])
+                if existing_id is None:
                     continue
-                update = self._removed_entry(known_id)
+                update = self._removed_entry(existing_id)
             if index < self.index or self.discovery_changed:
                 update = self._merge_outdated(update)
             updates.append(update)
@@ -138,10 +139,11 @@
         return EndpointEntry(endpoint, 0, 0, 0, EndpointStatus.REMOVED, 1.0, started_ns)
 
     def _merge_outdated(self, entry: EndpointEntry) -> EndpointEntry:
-        """An entry of an answer that may be older than the list: it cannot make an endpoint ready again.
+        """Merges an entry that may be older than the list: it cannot make an endpoint ready again.
 
-        That holds for an answer with a lower index, and until the full list of another discovery has come,
-        whose index is not comparable. An endpoint whose process has started since is ready again.
+        This applies to an answer with a lower index, and after a redirect to another discovery, whose index
+        is not comparable, until its full list is received. An endpoint whose process has restarted since then
+        is ready again.
         """
         status = self.statuses.get(entry.endpoint, EndpointStatus.READY)
         has_restarted = entry.started_ns > self._started_ns.get(entry.endpoint, 0)
@@ -158,11 +160,11 @@
         return self.statuses.get(endpoint) is EndpointStatus.READY
 
     def started_ms(self, endpoint: EndpointId) -> int:
-        """When an endpoint last started, in ms, as discovery reports it; 0: unknown."""
+        """The start time of an endpoint's process, in ms, as discovery reports it; 0: unknown."""
         return self._started_ns.get(endpoint, 0) // MS
 
     def find(self, name: str) -> EndpointId | None:
-        """The id of an endpoint that was named before; None for others."""
+        """The id of an endpoint that an answer has named or that was identified before; None for others."""
         return self._ids.get(name)
 
     def name(self, endpoint: EndpointId) -> str:
@@ -170,7 +172,7 @@
         return self._names.get(endpoint, "?")
 
     def identify(self, name: str) -> EndpointId:
-        """The id of an endpoint, which is made from its name if it is new. Ids are not 0, and are unique."""
+        """The id of an endpoint, computed from its name if it is new. Ids are not 0, and are unique."""
         endpoint = self._ids.get(name)
         salt = 0
         while endpoint is None:
@@ -195,7 +197,7 @@
 def _read_number(entry: dict[str, Any], key: str, default: float) -> float:
     value = entry.get(key, default)
     if not isinstance(value, int | float) or not 0 <= value < MAX_NUMBER:
-        raise EndpointListError(f"{key} {value!r} is not a figure that can be right", entry["name"])
+        raise EndpointListError(f"{key} {value!r} is not a number from 0 to below 1e15", entry["name"])
     return value
 
 
@@ -204,9 +206,9 @@
     try:
         return parse_address(address)
     except (ValueError, AttributeError):
-        raise EndpointListError(f"address {entry.get('address')!r}", entry["name"]) from None
+        raise EndpointListError(f"address {entry.get('address')!r} is not HOST:PORT", entry["name"]) from None
 
 
 def _position(names: Sequence[str], name: Any) -> int:
-    """The index of a name in the settings' list; one past the last for a name that is not there."""
+    """The index of a name in the settings' list; one past the last index for an unknown name."""
     return names.index(name) if name in names else len(names)
--- a/puffinpost/emulator/fleet/discovery.py
+++ b/puffinpost/emulator/fleet/discovery.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from puffinpost.discovery.watch import CallEnd, DiscoveryCall
+from puffinpost.discovery.watch import CallFailure, DiscoveryCall
 from puffinpost.emulator.fleet.clock import LINK_DELAY_NS, MS, Clock, S
 from puffinpost.emulator.fleet.drain_rule import Change, DrainRule
 
@@ -56,7 +56,7 @@
 
     node: int
     call: DiscoveryCall
-    on_end: Callable[[CallEnd | ListDocument], None]
+    on_end: Callable[[CallFailure | ListDocument], None]
     watching: bool = False  # its turn has come, and it waits for a change
     muted: bool = False  # it will never be answered
     closed: bool = False
@@ -119,7 +119,7 @@
             return
         starts_ns = max(now_ns, self.busy_until_ns)
         if starts_ns - now_ns > QUEUE_TIMEOUT_NS:
-            self.clock.call_later(QUEUE_TIMEOUT_NS, lambda: self._fail(pending, CallEnd.OVERLOADED))
+            self.clock.call_later(QUEUE_TIMEOUT_NS, lambda: self._fail(pending, CallFailure.OVERLOADED))
             return
         factor = self.snapshot_cost_factor if pending.call.after is None else 1.0
         self.busy_until_ns = starts_ns + int(self.watch_cost_ns * factor)
@@ -180,7 +180,7 @@
         )
         self.clock.call_later(LINK_DELAY_NS, lambda: pending.on_end(answer))
 
-    def _fail(self, pending: PendingCall, call_end: CallEnd) -> None:
+    def _fail(self, pending: PendingCall, call_end: CallFailure) -> None:
         if not pending.closed:
             self.close_call(pending)
             self.rule.call_failed(pending.node, self.clock.now_ns)
@@ -231,4 +231,4 @@
         """Ends all pending calls. A node that is between an answer and its next call no longer watches."""
         self.rule.discovery_reset()
         for pending in list(self.pending_calls):
-            self._fail(pending, CallEnd.FAILED)
+            self._fail(pending, CallFailure.FAILED)
--- a/puffinpost/emulator/fleet/node.py
+++ b/puffinpost/emulator/fleet/node.py
@@ -11,7 +11,7 @@
 from puffinpost.balancing.poll_schedule import STARTUP_LIST_TIMEOUT_NS
 from puffinpost.balancing.settings import EndpointId, Settings
 from puffinpost.discovery.endpoint_list import EndpointList
-from puffinpost.discovery.watch import CallEnd
+from puffinpost.discovery.watch import CallFailure
 from puffinpost.emulator.fleet.client import SimulatedClient
 from puffinpost.emulator.fleet.clock import MS, S
 from puffinpost.emulator.fleet.discovery import ListDocument, SimulatedDiscovery
@@ -69,7 +69,7 @@
         ready = (
             self.coordinator.endpoints.is_current
             or self.clock.now_ns >= until_ns
-            or self.poller.last_failure is CallEnd.UNREACHABLE
+            or self.poller.last_failure is CallFailure.UNREACHABLE
         )
         if ready or not self.environment.options.waits_for_list:
             self._open_request()
--- a/puffinpost/emulator/fleet/poller.py
+++ b/puffinpost/emulator/fleet/poller.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from puffinpost.balancing.poll_schedule import OLD_DISCOVERY_GRACE_NS
-from puffinpost.discovery.watch import CallEnd, WatchState
+from puffinpost.discovery.watch import CallFailure, WatchState
 from puffinpost.emulator.fleet.clock import LINK_DELAY_NS, S
 from puffinpost.emulator.fleet.discovery import ListDocument, PendingCall, SimulatedDiscovery
 from puffinpost.emulator.fleet.environment import NodeContext
@@ -29,7 +29,7 @@
         self.pending: PendingCall | None = None
         self.watch = 0  # the number of the watch that is active; 0: none is
         self.handling_late_answer = False
-        self.last_failure: CallEnd | None = None
+        self.last_failure: CallFailure | None = None
         self._watch_count = 0
 
     def poll(self) -> None:
@@ -63,7 +63,7 @@
         for pending in self.discovery.calls_of(self.node):
             self.discovery.close_call(pending)
             self.environment.rule.call_failed(self.node, self.clock.now_ns)
-            pending.on_end(CallEnd.FAILED)
+            pending.on_end(CallFailure.FAILED)
 
     def _switch_to(self, discovery: SimulatedDiscovery) -> None:
         if self.redirect_target is not discovery or self.context.stopped:
@@ -91,30 +91,30 @@
         discovery = self.discovery
         if discovery.down or discovery.silent or discovery is self.retired_discovery:
             delay_ns = LINK_DELAY_NS if discovery.down else CONNECT_TIMEOUT_NS
-            self.clock.call_later(delay_ns, lambda: self.call_failed(watch, CallEnd.UNREACHABLE))
+            self.clock.call_later(delay_ns, lambda: self.call_failed(watch, CallFailure.UNREACHABLE))
             return
         began_ns = self.clock.now_ns
         call = self.watch_state.next_call(self.coordinator.endpoint_list.index, began_ns)
         pending = PendingCall(self.node, call, lambda end: self.call_ended(watch, began_ns, end, pending))
         self.pending = pending
         discovery.accept(pending)
-        self.clock.call_later(call.limit_ns, lambda: self._time_out(watch, pending))
+        self.clock.call_later(call.timeout_ns, lambda: self._time_out(watch, pending))
 
     def _time_out(self, watch: int, pending: PendingCall) -> None:
         if not pending.closed and watch == self.watch and self.pending is pending:
             # The call stays open until another one is answered, and what comes on it is read.
             self.pending = None
-            self.call_failed(watch, CallEnd.TIMED_OUT)
+            self.call_failed(watch, CallFailure.TIMED_OUT)
 
     def call_ended(
-        self, watch: int, began_ns: int, end: CallEnd | ListDocument, pending: PendingCall
+        self, watch: int, began_ns: int, end: CallFailure | ListDocument, pending: PendingCall
     ) -> None:
         """A call was answered, perhaps after it had been given up, or ended without an answer."""
         if self.pending is not pending and isinstance(end, dict) and not self.context.stopped:
             self._late_answer(end)
         if watch != self.watch or self.pending is not pending or self.context.stopped:
             return
-        if isinstance(end, CallEnd):
+        if isinstance(end, CallFailure):
             self.call_failed(watch, end)
             return
         outdated = end["index"] < self.coordinator.endpoint_list.index
@@ -132,14 +132,14 @@
         self.poll()
         self.handling_late_answer = False
 
-    def call_failed(self, watch: int, end: CallEnd) -> None:
+    def call_failed(self, watch: int, end: CallFailure) -> None:
         """A call ended without an answer; the next one follows at once, or when the coordinator polls."""
         if watch != self.watch or self.context.stopped:
             return
         self.last_failure = end
         if self.redirect_target is not None:
             self._switch_to(self.redirect_target)
-        elif self.watch_state.on_call_ended(end):
+        elif self.watch_state.on_call_failed(end):
             self._call(watch)
         else:
             self.watch = 0
--- a/puffinpost/net/discovery_client.py
+++ b/puffinpost/net/discovery_client.py
@@ -14,7 +14,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from puffinpost.discovery import endpoint_list
-from puffinpost.discovery.watch import RESPONSE_BODY_TIMEOUT_NS, CallEnd, WatchState
+from puffinpost.discovery.watch import RESPONSE_BODY_TIMEOUT_NS, CallFailure, WatchState
 from puffinpost.net.connection import Connection
 from puffinpost.net.dialing import dial
 from puffinpost.observability import log
@@ -49,7 +49,7 @@
         self.on_list = on_list
         self.on_failure = on_failure
         self.trace: Callable[[str], None] | None = None  # takes a line for each call
-        self.last_end: CallEnd | None = None  # of the last watch
+        self.last_end: CallFailure | None = None  # of the last watch
         self._task: asyncio.Task[None] | None = None
         # Another address and what to call when it is taken, until the time of the redirect has come.
         self._redirect_timer: asyncio.TimerHandle | None = None
@@ -128,12 +128,12 @@
     async def _run(self) -> None:
         self.last_end = await self._watch()
         # The old discovery accepts no new connection once a redirect is configured.
-        while self._take_redirect() or self.watch_state.on_call_ended(self.last_end):
+        while self._take_redirect() or self.watch_state.on_call_failed(self.last_end):
             self.last_end = await self._watch()
         self._task = None
         self.on_failure()
 
-    async def _watch(self) -> CallEnd:
+    async def _watch(self) -> CallFailure:
         """Calls until one ends without an answer; returns how."""
         connection: Connection | None = None
         try:
@@ -142,13 +142,13 @@
                     connection = await dial(self.address, CONNECT_TIMEOUT_S)
                 if connection is None:
                     log.info("discovery unreachable", often=True)
-                    return CallEnd.UNREACHABLE
+                    return CallFailure.UNREACHABLE
                 began_ns = time.monotonic_ns()
                 response = await self._call(connection)
                 if response is None:
                     log.info("discovery call timed out", often=True)
                     connection = None  # `_read_late` closes it
-                    return CallEnd.TIMED_OUT
+                    return CallFailure.TIMED_OUT
                 if response.status != STATUS_OK:
                     return _end_of_status(response.status)
                 pause_ns = self._on_response(response, began_ns)
@@ -158,7 +158,7 @@
                     await asyncio.sleep(pause_ns / NS_PER_S)
         except TimeoutError:
             log.info("discovery response incomplete", often=True)
-            return CallEnd.TIMED_OUT
+            return CallFailure.TIMED_OUT
         except (StreamClosedError, OSError, ValueError) as problem:
             log.info("discovery call failed", reason=f"{type(problem).__name__} {problem}")
         except Exception:  # noqa: BLE001
@@ -167,7 +167,7 @@
         finally:
             if connection is not None:
                 connection.close()
-        return CallEnd.FAILED
+        return CallFailure.FAILED
 
     def _on_response(self, response: http.Response, began_ns: int) -> int:
         """Passes the endpoint list on. Returns the pause before the next call, in ns."""
@@ -189,7 +189,7 @@
         loop = asyncio.get_running_loop()
         answer = loop.create_task(_exchange(connection.stream, request))
         try:
-            done, _ = await asyncio.wait({answer}, timeout=call.limit_ns / NS_PER_S)
+            done, _ = await asyncio.wait({answer}, timeout=call.timeout_ns / NS_PER_S)
             if not done:
                 self._late_calls.append(loop.create_task(self._read_late(connection, answer)))
                 self._drop_late_calls(MAX_LATE_CALLS)
@@ -230,9 +230,9 @@
             connection.close()
 
 
-def _end_of_status(status: int) -> CallEnd:
+def _end_of_status(status: int) -> CallFailure:
     log.info("discovery call failed", status=status)
-    return CallEnd.OVERLOADED if status == STATUS_OVERLOADED else CallEnd.FAILED
+    return CallFailure.OVERLOADED if status == STATUS_OVERLOADED else CallFailure.FAILED
 
 
 async def _exchange(stream: IOStream, request: bytes) -> http.Response:
--- a/puffinpost/proxy/response_monitor.py
+++ b/puffinpost/proxy/response_monitor.py
@@ -17,7 +17,7 @@
 
 # Clients send a line every 2 s, and a running endpoint must not be silent for 7 s: one that has not echoed a
 # line for this long is given up, which leaves room for a slow one and for the next line to be lost too.
-SILENT_ENDPOINT_NS = 4500 * MS
+STALL_TIMEOUT_NS = 4500 * MS
 SWEEP_INTERVAL_NS = 250 * MS
 # A running endpoint echoes at once: an echo that takes two dial timeouts is worth a health check.
 OVERDUE_DIAL_TIMEOUTS = 2
@@ -95,7 +95,7 @@
                 continue
             oldest_ns = exchange.unanswered_sent_ns[0]
             waiting_ns = now - oldest_ns
-            if waiting_ns > SILENT_ENDPOINT_NS:
+            if waiting_ns > STALL_TIMEOUT_NS:
                 self.context.counters.add("silent")
                 self.attempts.migrate(exchange, AttemptResult.TIMEOUT)
             elif waiting_ns > overdue_ns and exchange.reported_overdue_ns != oldest_ns:
--- a/puffinpost/runtime/readiness.py
+++ b/puffinpost/runtime/readiness.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from puffinpost.discovery.watch import CallEnd
+from puffinpost.discovery.watch import CallFailure
 from puffinpost.frontends.platform import PlatformFrontend
 from puffinpost.net.discovery_client import DiscoveryClient
 from puffinpost.proxy.coordinator import Coordinator
@@ -54,4 +54,4 @@
     def _should_wait(self) -> bool:
         if self.coordinator.endpoints.is_current or self.stop_requested.is_set():
             return False
-        return self.discovery_client.last_end is not CallEnd.UNREACHABLE
+        return self.discovery_client.last_end is not CallFailure.UNREACHABLE
--- a/tests/test_drain_rule.py
+++ b/tests/test_drain_rule.py
@@ -22,7 +22,7 @@
 
 from puffinpost.balancing.poll_schedule import PollSchedule
 from puffinpost.discovery.endpoint_list import EndpointList
-from puffinpost.discovery.watch import MIN_CALL_INTERVAL_NS, CallEnd, DiscoveryCall, WatchState
+from puffinpost.discovery.watch import MIN_CALL_INTERVAL_NS, CallFailure, DiscoveryCall, WatchState
 from puffinpost.emulator.fleet.clock import MS, S
 from puffinpost.emulator.fleet.discovery import PendingCall
 from puffinpost.emulator.fleet.drain_rule import WATCH_LINGER_NS, DrainRule
@@ -124,9 +124,9 @@
     """Four times the time to ask within, as it is for a call that failed, where no call was made at all."""
     call_failed = Poller.call_failed
 
-    def failed_with_long_rest(poller: Poller, watch: int, end: CallEnd) -> None:
+    def failed_with_long_rest(poller: Poller, watch: int, end: CallFailure) -> None:
         call_failed(poller, watch, end)
-        if end is CallEnd.UNREACHABLE and not poller.watch:
+        if end is CallFailure.UNREACHABLE and not poller.watch:
             poller.coordinator.balancer.poll_schedule.next_poll_ns = (
                 poller.clock.now_ns + 4 * poller.coordinator.settings.poll_within_ns
             )
@@ -218,7 +218,7 @@
     settings = replace(
         PLAIN, balancer_count=nodes, poll_within_ns=ask_within_ns, endpoint_list_is_polled=True
     )
-    return WatchState(PollSchedule(settings, random.Random(1)), has_known_list=True)
+    return WatchState(PollSchedule(settings, random.Random(1)), has_startup_list=True)
 
 
 def is_watch(call: DiscoveryCall, after: int, least_ms: int = 1_500, most_ms: int = 4_000) -> bool:
@@ -226,7 +226,7 @@
         call.after == after
         and least_ms <= call.wait_ms <= most_ms
         and (
-            call.limit_ns < call.wait_ms * MS + 2 * S  # what it misses counts as told then
+            call.timeout_ns < call.wait_ms * MS + 2 * S  # what it misses counts as told then
         )
     )
 
@@ -240,16 +240,16 @@
     assert is_watch(machine.next_call(7, 0), 7)
     assert machine.on_answer(True, 0, 0) == 0 and machine.on_answer(False, 20 * S, 0) == 0
     assert machine.on_answer(False, MS, 0) == MIN_CALL_INTERVAL_NS < WATCH_LINGER_NS
-    assert not machine.on_call_ended(CallEnd.OVERLOADED) and is_watch(machine.next_call(7, 0), 7)
-    for how in (CallEnd.TIMED_OUT, CallEnd.UNREACHABLE, CallEnd.FAILED):
-        assert machine.on_call_ended(how) is (how is CallEnd.TIMED_OUT)
+    assert not machine.on_call_failed(CallFailure.OVERLOADED) and is_watch(machine.next_call(7, 0), 7)
+    for how in (CallFailure.TIMED_OUT, CallFailure.UNREACHABLE, CallFailure.FAILED):
+        assert machine.on_call_failed(how) is (how is CallFailure.TIMED_OUT)
         call = machine.next_call(7, 0)
         assert call.after == 7 and call.wait_ms <= 500
         machine.on_answer(False, 500 * MS, 0)
         assert machine.next_call(7, 0).after == 7 and machine.next_call(7, 10 * S).after is None
         machine.on_answer(True, MS, 10 * S)
         assert is_watch(machine.next_call(8, 10 * S), 8)
-    for lost in (lambda: machine.on_call_ended(CallEnd.FAILED), machine.on_redirect):
+    for lost in (lambda: machine.on_call_failed(CallFailure.FAILED), machine.on_redirect):
         lost()
         assert machine.next_call(7, 0) == DiscoveryCall(7, 500, 3_000 * MS)
         machine.on_answer(False, 500 * MS, 0, is_outdated=True)  # it has started over
@@ -262,20 +262,21 @@
 def test_a_small_fleet_requests_the_full_list_after_a_failure() -> None:
     machine = watch_state(20)
     assert machine.next_call(7, 0) == DiscoveryCall(None, 0, 2_500 * MS)
-    for how in CallEnd:
+    for how in CallFailure:
         machine.on_answer(True, MS, 0)
         assert is_watch(machine.next_call(7, 0), 7)
         assert (
-            machine.on_call_ended(how) is (how is CallEnd.TIMED_OUT) and machine.next_call(7, 0).after is None
+            machine.on_call_failed(how) is (how is CallFailure.TIMED_OUT)
+            and machine.next_call(7, 0).after is None
         )
 
 
 def test_a_local_agent_is_polled_continuously() -> None:
     """What it has counts as told at once, and a call costs nothing there."""
     machine = watch_state(200, ask_within_ns=0)
-    assert machine.next_call(7, 0).limit_ns <= 500 * MS
+    assert machine.next_call(7, 0).timeout_ns <= 500 * MS
     machine.on_answer(True, MS, 0)
-    assert is_watch(machine.next_call(7, 0), 7, 0, 1_000) and machine.next_call(7, 0).limit_ns <= 1_500 * MS
+    assert is_watch(machine.next_call(7, 0), 7, 0, 1_000) and machine.next_call(7, 0).timeout_ns <= 1_500 * MS
     machine.poll_schedule.start(S)
     assert machine.poll_schedule.poll_due(S)
     for _ in range(9):
