--- a/puffinpost/proxy/action_executor.py
+++ b/puffinpost/proxy/action_executor.py
@@ -1,7 +1,7 @@
 """Executes the actions that the balancer returns.
 
 The dispatcher calls it for each action, and after an exception in the balancer. An action for an exchange
-that is over has no effect, except that the balancer is notified of an attempt that is not started.
+that is completed has no effect, except that the balancer is notified of an attempt that is not started.
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
             number = exchange.attempts_started
             exchange.attempts_started += 1
             if not self.context.can_activate(exchange):
-                self.answers.answer_unconfirmed(exchange)
+                self.answers.answer_without_activation(exchange)
             if self._can_start(exchange, number, endpoint):
                 self.attempts.start(exchange, endpoint, timeout_ns, number)
                 return
@@ -97,7 +97,7 @@
         )
 
     def _can_start(self, exchange: Exchange, number: int, endpoint: EndpointId) -> bool:
-        """Whether an exchange is pending without an attempt, and has attempts and time left."""
+        """Whether an exchange is pending, has no attempt in progress, and has attempts and time left."""
         return (
             not exchange.answered
             and not exchange.established
@@ -108,7 +108,7 @@
         )
 
     def on_decision_failure(self, event: Event) -> None:
-        """Ends the one exchange that the event was about."""
+        """Ends the exchange that the event concerns, and no other."""
         exchange = self.exchanges.get(getattr(event, "request", 0))
         if exchange is not None:
             self.attempts.migrate(exchange)
--- a/puffinpost/proxy/attempts.py
+++ b/puffinpost/proxy/attempts.py
@@ -23,7 +23,7 @@
 from puffinpost.proxy.figures import ClassOutcome, FinalAnswer, attempt_counter
 from puffinpost.units import MS
 
-# The timeout that an endpoint is given is this much shorter than the node's own.
+# The timeout sent to an endpoint is this much shorter than the node's own.
 ENDPOINT_MARGIN_NS = 10 * MS
 NS_PER_US = 1000
 
@@ -37,7 +37,7 @@
         self.dispatcher = dispatcher
 
     def start(self, exchange: Exchange, endpoint: EndpointId, timeout_ns: int, number: int = 0) -> None:
-        """Starts an attempt. ``timeout_ns`` 0 or less: it has until the exchange's deadline."""
+        """Starts an attempt. ``timeout_ns`` of 0 or less: its deadline is that of the exchange."""
         clock = self.context.clock
         now = clock.now()
         deadline_ns = exchange.deadline_ns if timeout_ns <= 0 else min(exchange.deadline_ns, now + timeout_ns)
@@ -50,11 +50,11 @@
         exchange.client.start_attempt(attempt)
 
     def can_write(self, attempt: Attempt) -> bool:
-        """Whether the request may be written to the endpoint now; asked just before the first byte.
+        """Whether the request may be written to the endpoint now; called just before the first byte.
 
         While the connection was being opened, the attempt may have timed out, the idempotency window passed,
         the endpoint been drained, moved or banned, or the settings been replaced. If this returns False, the
-        caller ends the attempt as ``AttemptResult.SUPERSEDED``, and the balancer decides anew.
+        caller ends the attempt as ``AttemptResult.SUPERSEDED``, and the balancer decides again.
         """
         exchange = attempt.exchange
         if attempt.completed:
@@ -76,13 +76,13 @@
         return max(1, (attempt.deadline_ns - ENDPOINT_MARGIN_NS - self.context.clock.now()) // MS)
 
     def request_written(self, attempt: Attempt) -> None:
-        """The request is written to its last byte: from here on it may have run."""
+        """Records that the request is written in full: from now on it may have run."""
         attempt.written = True
         self.context.counters.add("relayed")
         self.context.report_activation(attempt)
 
     def established(self, attempt: Attempt) -> bool:
-        """The endpoint accepted the request. Returns False if the attempt or the exchange is over."""
+        """Handles the endpoint's acceptance. Returns False if the attempt or the exchange is completed."""
         exchange = attempt.exchange
         if attempt.completed or exchange.answered:
             return False
@@ -102,7 +102,7 @@
         return True
 
     def ended(self, attempt: Attempt, result: AttemptResult, load_report: tuple[float, ...] = ()) -> None:
-        """The attempt is over and its socket is closed; no effect if that is known already."""
+        """Ends an attempt whose socket is closed; no effect on an attempt that has ended already."""
         if attempt.completed:
             return
         exchange = attempt.exchange
@@ -127,7 +127,7 @@
     ) -> None:
         exchange = attempt.exchange
         elapsed_ns = self.context.clock.now() - attempt.started_ns
-        # Made when its turn comes: by then the exchange may be answered.
+        # The event is created when it is dequeued: by then the exchange may be answered.
         self.dispatcher.dispatch(
             lambda: AttemptEnded(
                 exchange.number,
@@ -141,13 +141,13 @@
         )
 
     def abort(self, attempt: Attempt | None, result: AttemptResult) -> None:
-        """Closes the attempt's socket, and ends it; no effect on None or one that is over."""
+        """Closes the attempt's socket and ends the attempt; no effect on None or an ended attempt."""
         if attempt is not None and not attempt.completed:
             attempt.exchange.client.abort_attempt(attempt)
             self.ended(attempt, result)
 
     def migrate(self, exchange: Exchange, result: AttemptResult = AttemptResult.CANCELLED) -> None:
-        """Closes an established connection politely, so that its client connects again."""
+        """Asks the client of an established connection to open its session again, and ends the attempt."""
         if exchange.established and not exchange.answered:
             self.context.counters.add("moves")
             attempt = exchange.attempt
@@ -155,20 +155,20 @@
             self.abort(attempt, result)
 
     def stop_timers(self, attempt: Attempt) -> None:
-        """Cancels the attempt's timer, and the exchange's too if that is completed."""
+        """Cancels the attempt's timer, and the exchange's too if the exchange is completed."""
         clock = self.context.clock
         clock.cancel(attempt.timer)
         clock.cancel(attempt.exchange.deadline_timer if attempt.exchange.answered else None)
 
     def load_reported(self, attempt: Attempt, us_per_s: float) -> None:
-        """The endpoint reported the connection's load, in microseconds of work per second."""
+        """Passes on the connection's load that the endpoint reported, in microseconds of work per second."""
         if not attempt.completed and attempt.exchange.established:
             self.context.counters.add("load_notes")
             number, load = attempt.exchange.number, int(us_per_s * NS_PER_US)
             self.dispatcher.dispatch(lambda: LoadReported(number, load))
 
     def delay_reported(self, attempt: Attempt, delay_ms: float) -> None:
-        """The endpoint reported how long a message takes there now."""
+        """Passes on the current processing time of a message that the endpoint reported."""
         if not attempt.completed and attempt.exchange.established:
             self.context.counters.add("delay_notes")
             number, delay_ns = attempt.exchange.number, int(delay_ms * MS)
--- a/puffinpost/proxy/context.py
+++ b/puffinpost/proxy/context.py
@@ -1,6 +1,6 @@
 """What the parts of the coordinator share: the clock, the counters, the settings and the endpoints.
 
-The coordinator makes it and hands it to its parts. It makes no decision and starts nothing.
+The coordinator creates it and passes it to its parts. It makes no decisions and starts nothing.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
     activation_guard: ActivationGuard | None = None
 
     def count_outcome(self, outcome: ClassOutcome, request_class: int) -> None:
-        """Counts what became of a request, by its class."""
+        """Counts the outcome of a request, by its class."""
         self.counters.add(f"{outcome}.{self.settings_view.class_names[request_class]}")
 
     def can_activate(self, exchange: Exchange) -> bool:
-        """Whether the activation guard, if there is one, lets the request's class start new work."""
+        """Whether the activation guard, if there is one, allows new work of the request's class."""
         guard = self.activation_guard
         return guard is None or guard.can_start(
             self.settings_view.class_names[exchange.request.request_class]
         )
 
     def report_activation(self, attempt: Attempt) -> None:
-        """Reports new work to the activation guard. A connection of before this process is not new."""
+        """Reports new work to the activation guard. A connection from an earlier process is not new."""
         if self.activation_guard is not None and not attempt.exchange.adopted:
             self.activation_guard.attempt_started(
                 self.settings_view.class_names[attempt.exchange.request.request_class],
--- a/puffinpost/proxy/coordinator.py
+++ b/puffinpost/proxy/coordinator.py
@@ -1,6 +1,6 @@
 """Drives one balancer: turns what happens to clients, attempts and endpoints into events for it.
 
-Frontends, the runtime and the emulator call the coordinator; it hands each call to the part that owns the
+Frontends, the runtime and the emulator call the coordinator; it forwards each call to the part that owns the
 state. It performs no I/O and knows no wire format.
 """
 
@@ -90,7 +90,7 @@
         return self.table.by_number
 
     def use_activation_guard(self, guard: ActivationGuard) -> None:
-        """Asks this guard before new work is started."""
+        """Sets the guard that is asked before new work is started."""
         self.context.activation_guard = guard
 
     # --- settings and endpoints -----------------------------------------------------------------------
@@ -115,18 +115,18 @@
         return self.settings_view.tenant_index(name)
 
     def endpoint_list_received(self, answer: dict[str, Any], cached: bool = False) -> None:
-        """Discovery answered. Raises ``EndpointListError`` if the answer is not a list."""
+        """Applies discovery's answer. Raises ``EndpointListError`` if the answer is not a list."""
         update = self.endpoints.apply_list(answer, cached)
         if invalid := self.endpoint_list.invalid_entries:
             self.counters.add("entries_spoilt", len(invalid))
             self.context.ports.write_log(
-                f"endpoint list: {len(invalid)} invalid entries, the first: "
-                f"{invalid[0][:MAX_LOGGED_ENTRY_LENGTH]}"
+                f"endpoint list has invalid entries count={len(invalid)} "
+                f"first={invalid[0][:MAX_LOGGED_ENTRY_LENGTH]}"
             )
         self.dispatcher.dispatch(lambda: update)
 
     def endpoint_list_failed(self) -> None:
-        """A call to discovery failed, or the watch ended."""
+        """Handles a failed call to discovery, or the end of the watch."""
         self.counters.add("inventory_failed")
         self.dispatcher.dispatch(lambda: EndpointListUpdate(ListUpdateKind.FAILED))
 
@@ -139,7 +139,7 @@
         self.dispatcher.dispatch(lambda: change)
 
     def gossip_received(self, state: GossipState) -> None:
-        """What other nodes report of endpoints and tenants has changed."""
+        """Passes on a change in what other nodes report about endpoints and tenants."""
         self.dispatcher.dispatch(lambda: state)
 
     def accepts_new_work(self, endpoint: EndpointId) -> bool:
@@ -149,7 +149,7 @@
     def health_check_completed(
         self, endpoint: EndpointId, result: AttemptResult, elapsed_ns: int, load_report: tuple[float, ...]
     ) -> None:
-        """A health check ended, with a load report or without."""
+        """Handles the end of a health check, with or without a load report."""
         self.counters.add(health_check_counter(result))
         self.dispatcher.dispatch(lambda: HealthCheckCompleted(endpoint, result, elapsed_ns, load_report))
 
@@ -162,18 +162,18 @@
         if self.context.can_activate(exchange):
             self.dispatcher.dispatch(exchange.received_event)
         else:
-            self.answers.answer_unconfirmed(exchange)
+            self.answers.answer_without_activation(exchange)
         return exchange
 
     def adopt(self, request: SessionRequest, endpoint: EndpointId, client: DownstreamClient) -> Exchange:
-        """Restores a connection of before this process, with an attempt at its endpoint and no other."""
+        """Restores a connection from an earlier process, with an attempt at its endpoint only."""
         exchange = self.table.register(request, client)
         exchange.adopted = True
         self.attempts.start(exchange, endpoint, request.client_timeout_ns)
         return exchange
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """The client's connection ended; no answer is expected any more."""
+        """Handles the end of the client's connection; no answer is expected any more."""
         if exchange.answered:
             return
         if not exchange.established:
@@ -183,7 +183,7 @@
         self.attempts.abort(exchange.attempt, AttemptResult.CANCELLED)
 
     def client_half_closed(self, exchange: Exchange) -> None:
-        """The client sends no more but may still read: a pending request ends now, with an answer."""
+        """Handles a client that sends no more but may still read: answers a pending request now."""
         self.client_disconnected(exchange)
         if exchange.is_idempotent:
             exchange.client.reject(0)
@@ -191,15 +191,15 @@
             exchange.client.fail(False)
 
     def count_rejected(self, request_class: int) -> None:
-        """A request of a class was rejected before it was opened, for want of capacity."""
+        """Counts a request of a class that was rejected before it was opened, for lack of capacity."""
         self.context.count_outcome(ClassOutcome.THROTTLED, request_class)
 
     def lines_forwarded(self, exchange: Exchange, size: int, count: int = 1) -> None:
-        """Lines of the client, ``size`` bytes in all, were written to its endpoint."""
+        """Records client lines, ``size`` bytes in total, that were written to the endpoint."""
         self.responses.lines_forwarded(exchange, size, count)
 
     def set_reading_paused(self, exchange: Exchange, paused: bool) -> None:
-        """A frontend stopped reading the endpoint, or resumed."""
+        """Records that a frontend paused or resumed reading the endpoint."""
         self.responses.set_reading_paused(exchange, paused)
 
     # --- the endpoint's side --------------------------------------------------------------------------
@@ -213,29 +213,29 @@
         return self.attempts.remaining_ms(attempt)
 
     def request_written(self, attempt: Attempt) -> None:
-        """The request is written to its last byte: from here on it may have run."""
+        """Records that the request is written in full: from now on it may have run."""
         self.attempts.request_written(attempt)
 
     def attempt_established(self, attempt: Attempt) -> bool:
-        """The endpoint accepted the request. Returns False if the attempt is over."""
+        """Handles the endpoint's acceptance. Returns False if the attempt or the exchange is completed."""
         return self.attempts.established(attempt)
 
     def attempt_ended(
         self, attempt: Attempt, result: AttemptResult, load_report: tuple[float, ...] = ()
     ) -> None:
-        """The attempt is over and its socket is closed."""
+        """Ends an attempt whose socket is closed."""
         self.attempts.ended(attempt, result, load_report)
 
     def load_reported(self, attempt: Attempt, us_per_s: float) -> None:
-        """The endpoint reported the connection's load, in microseconds of work per second."""
+        """Passes on the connection's load that the endpoint reported, in microseconds of work per second."""
         self.attempts.load_reported(attempt, us_per_s)
 
     def delay_reported(self, attempt: Attempt, delay_ms: float) -> None:
-        """The endpoint reported how long a message takes there now."""
+        """Passes on the current processing time of a message that the endpoint reported."""
         self.attempts.delay_reported(attempt, delay_ms)
 
     def line_received(self, attempt: Attempt, size: int, is_echo: bool) -> None:
-        """A line of the endpoint, of ``size`` bytes, is forwarded to the client."""
+        """Records a line of the endpoint, of ``size`` bytes, that is forwarded to the client."""
         self.responses.line_received(attempt, size, is_echo)
 
     # --- shutdown and handover ------------------------------------------------------------------------
@@ -245,19 +245,19 @@
         return self.table.established()
 
     def migrate(self, exchange: Exchange) -> None:
-        """Closes an established connection politely, so that its client connects again."""
+        """Asks the client of an established connection to open its session again, and ends the attempt."""
         self.attempts.migrate(exchange)
 
     def answer_at_shutdown(self, exchange: Exchange) -> None:
-        """Answers a pending exchange, since the node is about to end."""
+        """Answers a pending exchange, since the node is about to stop."""
         self.answers.reject_or_fail(exchange)
 
     def handover_state(self, exchange: Exchange) -> dict[str, Any]:
-        """What another process of this node has to know of an established connection."""
+        """What another process of this node needs to know about an established connection."""
         return self.handover.describe(exchange).to_map()
 
     def handed_over(self, exchange: Exchange) -> None:
-        """Another process of this node has taken an established connection over."""
+        """Ends an exchange whose connection another process of this node has taken over."""
         self.handover.release(exchange)
 
     def take_over(self, state: dict[str, Any], client: DownstreamClient) -> Exchange:
--- a/puffinpost/proxy/dispatcher.py
+++ b/puffinpost/proxy/dispatcher.py
@@ -1,7 +1,7 @@
-"""Hands events to the balancer, one at a time, and has its actions executed.
+"""Passes events to the balancer, one at a time, and has its actions executed.
 
-Every part of the proxy dispatches its events here. Events that arise while actions are executed are queued,
-so the balancer is never entered twice.
+Every part of the proxy dispatches its events here. Events that occur while actions are executed are queued,
+so the balancer is never re-entered.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from puffinpost.proxy.tracing import DecisionTracer
 from puffinpost.units import MS
 
-TIMER_RETRY_NS = 250 * MS  # a timer event that raised is dispatched again after this
+TIMER_RETRY_NS = 250 * MS  # a timer event that failed is dispatched again after this
 
 
 class DecisionHandler(Protocol):
-    """What carries out the balancer's decisions."""
+    """Executes the balancer's decisions."""
 
     def execute(self, action: Action) -> None:
-        """Carries out one action."""
+        """Executes one action."""
 
     def on_decision_failure(self, event: Event) -> None:
-        """The balancer raised an exception on an event."""
+        """Handles an exception that was raised while the event was decided on or its actions executed."""
 
 
 class Dispatcher:
@@ -42,11 +42,11 @@
         self._dispatching = False
 
     def set_handler(self, handler: DecisionHandler) -> None:
-        """Sets what executes the actions; to be called once, before the first event."""
+        """Sets the handler of the actions; to be called once, before the first event."""
         self._handler = handler
 
     def dispatch(self, make_event: Callable[[], Event]) -> None:
-        """Queues an event, which is made when its turn comes, and works through the queue."""
+        """Queues an event, which is created when it is dequeued, and processes the queue."""
         self._queue.append(make_event)
         if self._dispatching:
             return
@@ -64,15 +64,16 @@
                 self.tracer.trace(action)
                 self._handler.execute(action)
         except Exception:  # noqa: BLE001
-            # A border: a defect in one decision fails one request and must not end the node.
+            # Failures are contained here: a defect in one decision fails one request and must not stop the
+            # node.
             self._on_failure(event)
 
     def _on_failure(self, event: Event) -> None:
         self.context.counters.add("exceptions")
         self.context.ports.write_log(
-            f"balancer failed on {type(event).__name__}: {traceback.format_exc(limit=-3)}"
+            f"balancer failed event={type(event).__name__} traceback={traceback.format_exc(limit=-3)}"
         )
         self._handler.on_decision_failure(event)
         if isinstance(event, TimerFired):
-            # The balancer runs on a timer that it starts again each time it fires.
+            # The balancer depends on a timer that it restarts each time it fires, so the event is retried.
             self.context.clock.call_later(TIMER_RETRY_NS, lambda: self.dispatch(lambda: event))
--- a/puffinpost/proxy/endpoint_directory.py
+++ b/puffinpost/proxy/endpoint_directory.py
@@ -1,7 +1,7 @@
 """Which endpoints may receive new work: discovery's endpoint list and the operators' bans, together.
 
-The coordinator updates it before it passes the same change to the balancer. It knows nothing of load, health
-or attempts.
+The coordinator updates it before it passes the same change to the balancer. It does not track load,
+health or attempts.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
         self.is_current = False  # discovery itself has answered since the start of the process
 
     def apply_list(self, answer: dict[str, Any], cached: bool) -> EndpointListUpdate:
-        """Applies discovery's answer. Raises ``EndpointListError`` and changes nothing if it is no list."""
+        """Applies discovery's answer. Raises ``EndpointListError``, with no effect, if it is not a list."""
         update = self.endpoint_list.apply(answer, cached)
         self.has_list = True
         self.is_current = self.is_current or not cached
         return update
 
     def apply_bans(self, banned: dict[str, int]) -> list[EndpointBanChanged]:
-        """Replaces the bans; returns what has changed, in the order of the endpoints' names."""
+        """Replaces the bans; returns the changes, in the order of the endpoints' names."""
         before, self.banned = self.banned, dict(banned)
         return [
             EndpointBanChanged(self.endpoint_list.identify(name), name in banned, banned.get(name, 0))
--- a/puffinpost/proxy/exchange.py
+++ b/puffinpost/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""The state of one client request: what was asked, its current attempt, and how it was completed.
+"""The state of one client request: its parameters, its current attempt, and how it was completed.
 
 The coordinator owns every exchange; frontends hold a reference to read it and never change it. An exchange
 lives from the arrival of its request until the final answer is given and its last attempt is closed.
@@ -16,17 +16,17 @@
 from puffinpost.proxy.figures import FinalAnswer
 from puffinpost.units import MS
 
-# A client's timeout counts from when it sent its opening line, and the final answer takes time to arrive.
+# A client's timeout starts when it sends its opening line, and the final answer takes time to arrive.
 CLIENT_MARGIN_NS = 10 * MS
 
-MAX_UNANSWERED_LINES = 64  # lines per exchange whose time of sending is kept; the oldest are dropped
+MAX_UNANSWERED_LINES = 64  # lines per exchange whose send time is kept; the oldest are dropped
 
 UNKNOWN_ADDRESS = ("0.0.0.0", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """What a client asks for, independent of its protocol."""
+    """What a client requests, independent of its protocol."""
 
     request_class: int
     client_timeout_ns: int
@@ -36,8 +36,8 @@
     is_retry: bool = False
     is_returning: bool = False
     client_address: tuple[str, int] = UNKNOWN_ADDRESS  # for flow records
-    request_id: int | None = None  # the client's own id for it, where its protocol has one
-    tenant: int = 0  # index into the settings' tenants; past the last: unknown
+    request_id: int | None = None  # assigned by the client, if its protocol has request ids
+    tenant: int = 0  # index into the settings' tenants; one past the last: unknown
 
 
 class Attempt:
@@ -78,12 +78,12 @@
 
 
 class ExchangeState(Enum):
-    """Where an exchange is in its life."""
+    """The stages in the life cycle of an exchange."""
 
     PENDING = auto()  # no final answer yet; attempts may be started
     ESTABLISHED = auto()  # an endpoint accepted it; lines are forwarded both ways
-    ANSWERED = auto()  # completed without a connection: rejected, failed, or the client left
-    CLOSED = auto()  # the established connection ended, or another process has it
+    ANSWERED = auto()  # completed without a connection: rejected, failed, or the client disconnected
+    CLOSED = auto()  # the established connection ended, or another process has taken it over
 
 
 STATE_TRANSITIONS = {
@@ -144,12 +144,12 @@
         self.bytes_from_client = 0  # forwarded
         self.bytes_from_endpoint = 0  # forwarded
         self.reading_paused = False  # the endpoint is not read, because the client does not read
-        self.reported_overdue_ns = 0  # when the line was sent that was last reported as overdue
+        self.reported_overdue_ns = 0  # send time of the line that was last reported as overdue
         self.unanswered_sent_ns: deque[int] = deque(maxlen=MAX_UNANSWERED_LINES)  # lines without an echo yet
 
     @property
     def established(self) -> bool:
-        """Whether an endpoint has accepted it, also once the connection is closed."""
+        """Whether an endpoint has accepted it; stays true after the connection is closed."""
         return self.state is ExchangeState.ESTABLISHED or self.state is ExchangeState.CLOSED
 
     @property
@@ -188,10 +188,10 @@
         )
 
     def can_retry(self, now_ns: int) -> bool:
-        """Whether one more attempt may run.
+        """Whether another attempt may run.
 
-        A keyed request may be repeated within its window, counted from the start of the first attempt that
-        may have run; one that is not idempotent may not, once an attempt may have run.
+        A keyed request may be repeated within its window, which starts with the first attempt that may have
+        run; a request that is not idempotent may not be repeated once an attempt may have run.
         """
         if self.first_uncertain_attempt_ns is None or self.is_idempotent:
             return True
@@ -218,7 +218,7 @@
         """Starts an attempt. It ends with ``Coordinator.attempt_ended``, never before this returns."""
 
     def abort_attempt(self, attempt: Attempt) -> None:
-        """Closes an attempt's socket at once. The coordinator has recorded its end already."""
+        """Closes an attempt's socket at once. The coordinator records the attempt's end itself."""
 
     def reject(self, retry_after_ns: int) -> None:
         """Sends the final answer: rejected, retry after ``retry_after_ns``."""
@@ -227,4 +227,4 @@
         """Sends the final answer: failed. ``timed_out``: because the deadline has passed."""
 
     def migrate(self) -> None:
-        """Closes the client's connection politely, so that it connects again elsewhere."""
+        """Asks the client to open its session again, on a new connection where its protocol requires one."""
--- a/puffinpost/proxy/figures.py
+++ b/puffinpost/proxy/figures.py
@@ -1,7 +1,7 @@
-"""Names of the proxy's counters, and the final answers and outcomes that they are counted by.
+"""Names of the proxy's counters, and the final answers and outcomes that they count.
 
-The names are read outside the program and stay as they are. Where the code has another word for the same
-thing, the tables here map one to the other.
+Tools outside the program read the names, so they must not change. Where the code uses another term, the
+tables here map it to the counter's name.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ClassOutcome(StrEnum):
-    """What became of a request, counted by request class. The value begins the counter's name."""
+    """The outcome of a request, counted by request class. The value is the prefix of the counter's name."""
 
     FULFILLED = "fulfilled"
     THROTTLED = "throttled"
@@ -46,10 +46,10 @@
 
 
 def attempt_counter(result: AttemptResult) -> str:
-    """The counter of attempts that ended so."""
+    """The counter of attempts that ended with this result."""
     return f"relay_{RESULT_NAMES[result]}"
 
 
 def health_check_counter(result: AttemptResult) -> str:
-    """The counter of health checks that ended so."""
+    """The counter of health checks that ended with this result."""
     return f"probe_{RESULT_NAMES[result]}"
--- a/puffinpost/proxy/final_answers.py
+++ b/puffinpost/proxy/final_answers.py
@@ -1,7 +1,7 @@
 """Gives an exchange that is not established its one final answer.
 
-The coordinator calls it as the balancer decides, at the exchange's deadline, and when the activation guard or
-the shutdown leaves no other answer. It never answers an exchange twice.
+The coordinator calls it when the balancer decides, at the exchange's deadline, and when the activation guard
+or a shutdown requires it. It never answers an exchange twice.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from puffinpost.proxy.figures import FinalAnswer
 from puffinpost.units import MS
 
-# The balancer answers at the deadline; if it has not done so after this, the exchange fails without it.
+# The balancer answers at the deadline; if it has not done so this long after it, the exchange fails.
 DEADLINE_GRACE_NS = 8 * MS
 
 
@@ -48,19 +48,19 @@
             self.exchanges.forget(exchange)
 
     def fail(self, exchange: Exchange) -> None:
-        """Fails an exchange; it may have run."""
+        """Fails an exchange whose request may have run."""
         if self._complete(exchange, FinalAnswer.FAILED):
             exchange.client.fail(self.context.clock.now() >= exchange.deadline_ns)
             self.exchanges.forget(exchange)
 
     def reject_or_fail(self, exchange: Exchange, retry_after_ns: int = 0) -> None:
-        """Rejects an exchange if a retry does no harm, and fails it otherwise."""
+        """Rejects an exchange if a retry is safe, and fails it otherwise."""
         if exchange.is_idempotent:
             self.reject(exchange, retry_after_ns)
         else:
             self.fail(exchange)
 
-    def answer_unconfirmed(self, exchange: Exchange) -> None:
+    def answer_without_activation(self, exchange: Exchange) -> None:
         """Answers at once: the settings in force may have been replaced, so nothing may be started."""
         self.context.counters.add("in_doubt")
         settings = self.context.settings_view.settings
--- a/puffinpost/proxy/handover.py
+++ b/puffinpost/proxy/handover.py
@@ -1,7 +1,7 @@
-"""Established connections as one process of a node hands them to the next.
+"""The handover of established connections from one process of a node to the next.
 
-The runtime's hot restart and the frontends call it through the coordinator, on both sides. It makes the map
-that goes over the channel and reads it; sockets and protocol state are handed over by others.
+The runtime's hot restart and the frontends call it through the coordinator, on both sides. It builds and
+reads the map that is sent over the channel; other modules hand over the sockets and the protocol state.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from puffinpost.proxy.exchange import Attempt, DownstreamClient, Exchange, ExchangeState, SessionRequest
 from puffinpost.proxy.exchange_table import ExchangeTable
 
-# Keys of the map, in its order, and the fields that they stand for.
+# The keys of the map, in order, and the fields of ``HandoverState``.
 FIELD_OF_KEY = {
     "class": "class_name",
     "at": "endpoint_address",
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What another process has to know of an established connection."""
+    """What another process needs to know about an established connection."""
 
     class_name: str
     endpoint_address: tuple[str, int]
@@ -54,12 +54,12 @@
     forwarded_bytes: list[int]  # from the client, and from the endpoint
 
     def to_map(self) -> dict[str, Any]:
-        """The map that goes over the channel."""
+        """The map that is sent over the channel."""
         return {key: getattr(self, field) for key, field in FIELD_OF_KEY.items()}
 
     @classmethod
     def from_map(cls, state: dict[str, Any]) -> HandoverState:
-        """Reads a map; keys of others in it are ignored. Raises ``KeyError`` if one is missing."""
+        """Reads a map; ignores other keys in it. Raises ``KeyError`` if a key is missing."""
         fields = {field: state[key] for key, field in FIELD_OF_KEY.items() if key != "tenant"}
         fields["endpoint_address"] = _address(state["at"])
         fields["client_address"] = _address(state["source"])
@@ -105,14 +105,14 @@
         )
 
     def _current_load(self, exchange: Exchange) -> int | None:
-        """The load that the endpoint reported last, else the one that the client named."""
+        """The load that the endpoint reported last, else the load that the client declared."""
         tracked = self.balancer.state.requests.get(exchange.number)
         if tracked is not None and tracked.hinted_load is not None:
             return int(tracked.hinted_load)
         return exchange.request.load
 
     def release(self, exchange: Exchange) -> None:
-        """Another process has taken the connection over: it is over here, without an answer."""
+        """Ends an exchange whose connection another process has taken over, without an answer."""
         attempt = exchange.attempt
         assert attempt is not None and exchange.established
         self.context.counters.add("handed_over")
@@ -131,7 +131,7 @@
     def take_over(self, state: HandoverState, client: DownstreamClient) -> Exchange:
         """Registers a connection that was established in another process, with its attempt.
 
-        Raises ``KeyError`` if its class is unknown here, and ``DuplicateRequestError``.
+        Raises ``KeyError`` for a class unknown here, and ``DuplicateRequestError`` for a request id in use.
         """
         request = self._request(state)
         self.exchanges.request_ids.predecessor.discard(request.request_id)
--- a/puffinpost/proxy/ports.py
+++ b/puffinpost/proxy/ports.py
@@ -26,10 +26,10 @@
 
 
 class Ports(Protocol):
-    """Operations that the balancer asks for and the node performs."""
+    """Operations that the balancer requests and the node performs."""
 
     def check_health(self, endpoint: EndpointId) -> None:
-        """Requests a load report; ends with ``Coordinator.health_check_completed``."""
+        """Requests a load report from an endpoint; ends with ``Coordinator.health_check_completed``."""
 
     def poll_endpoint_list(self) -> None:
         """Starts to watch discovery.
@@ -42,7 +42,7 @@
 
 
 class ActivationGuard(Protocol):
-    """Keeps a node from acting on settings that may have been replaced; asked at each start."""
+    """Keeps a node from acting on settings that may have been replaced; asked before new work starts."""
 
     def can_start(self, class_name: str) -> bool:
         """Whether new work of a class may be started now."""
--- a/puffinpost/proxy/request_ids.py
+++ b/puffinpost/proxy/request_ids.py
@@ -12,7 +12,7 @@
 
 
 class DuplicateRequestError(PuffinpostError, ValueError):
-    """A request has the id of another one that has not ended."""
+    """A request has the id of another request that has not ended."""
 
     def __init__(self, request_id: int) -> None:
         super().__init__("the id is that of a message that has not ended")
@@ -26,11 +26,11 @@
 
     def __init__(self) -> None:
         self.active: set[int] = set()
-        self.predecessor: set[int | None] = set()  # in use in the process that this one replaces
+        self.predecessor: set[int | None] = set()  # in use in the process that this process replaces
         self.release_listeners: list[Callable[[int], None]] = []
 
     def claim(self, request_id: int) -> None:
-        """Marks an id as in use. Raises ``DuplicateRequestError`` if it is already.
+        """Marks an id as in use. Raises ``DuplicateRequestError`` if it is in use already.
 
         With two attempts for one id, an endpoint's response could not be assigned to either.
         """
--- a/puffinpost/proxy/response_monitor.py
+++ b/puffinpost/proxy/response_monitor.py
@@ -1,7 +1,7 @@
-"""Watches how quickly endpoints echo the lines of established connections.
+"""Monitors how quickly endpoints echo the lines of established connections.
 
-Frontends report each line through the coordinator. Slow echoes and overdue ones go to the balancer as events;
-an endpoint that stays silent is given up, and its client is migrated.
+Frontends report each line through the coordinator. Slow and overdue echoes go to the balancer as events; a
+client whose endpoint has stalled is migrated.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 from puffinpost.proxy.exchange_table import ExchangeTable
 from puffinpost.units import MS
 
-# Clients send a line every 2 s, and a running endpoint must not be silent for 7 s: one that has not echoed a
-# line for this long is given up, which leaves room for a slow one and for the next line to be lost too.
+# Clients send a line every 2 s, and a running endpoint must not be silent for 7 s. An endpoint that has not
+# echoed a line for this long counts as stalled, which leaves time for a slow endpoint and for the loss of the
+# next line too.
 STALL_TIMEOUT_NS = 4500 * MS
 SWEEP_INTERVAL_NS = 250 * MS
-# A running endpoint echoes at once: an echo that takes two dial timeouts is worth a health check.
+# A running endpoint echoes at once: an echo that takes two dial timeouts justifies a health check.
 OVERDUE_DIAL_TIMEOUTS = 2
 DELAY_REPORT_INTERVAL_NS = 1000 * MS  # between two reports of slow echoes of one endpoint
 
 
 class ResponseMonitor:
-    """The lines without an echo, and the endpoints whose echoes are slow."""
+    """Tracks the lines without an echo, and the endpoints whose echoes are slow."""
 
     def __init__(
         self,
@@ -45,12 +46,12 @@
         self.context.clock.call_later(SWEEP_INTERVAL_NS, self._sweep)
 
     def lines_forwarded(self, exchange: Exchange, size: int, count: int = 1) -> None:
-        """Lines of the client, ``size`` bytes in all, were written to its endpoint."""
+        """Records client lines, ``size`` bytes in total, that were written to the endpoint."""
         exchange.bytes_from_client += size
         exchange.unanswered_sent_ns.extend([self.context.clock.now()] * min(count, MAX_UNANSWERED_LINES))
 
     def line_received(self, attempt: Attempt, size: int, is_echo: bool) -> None:
-        """A line of the endpoint is forwarded. An echo answers the oldest line without one."""
+        """Records a forwarded line of the endpoint. An echo answers the oldest line without an echo."""
         exchange = attempt.exchange
         exchange.bytes_from_endpoint += size
         if attempt.completed or not is_echo or not exchange.unanswered_sent_ns:
@@ -73,9 +74,9 @@
         return True
 
     def set_reading_paused(self, exchange: Exchange, paused: bool) -> None:
-        """A frontend stopped reading the endpoint, or resumed, because of a client that does not read.
+        """Records that a frontend paused reading the endpoint, because its client does not read, or resumed.
 
-        The endpoint must not be taken for silent meanwhile: waiting times start anew at the resumption.
+        The endpoint must not count as stalled meanwhile, so waiting times restart when reading resumes.
         """
         if exchange.reading_paused and not paused:
             now = self.context.clock.now()
@@ -86,7 +87,7 @@
         exchange.reading_paused = paused
 
     def _sweep(self) -> None:
-        """Gives up silent endpoints, and reports overdue echoes, each once."""
+        """Migrates the clients of stalled endpoints, and reports each overdue echo once."""
         self.context.clock.call_later(SWEEP_INTERVAL_NS, self._sweep)
         now = self.context.clock.now()
         overdue_ns = OVERDUE_DIAL_TIMEOUTS * self.context.settings_view.settings.dial_timeout_ns
--- a/puffinpost/proxy/settings_view.py
+++ b/puffinpost/proxy/settings_view.py
@@ -1,6 +1,6 @@
 """The settings in force, with the names of request classes and tenants indexed by position.
 
-The coordinator owns the one view of a process and replaces its content at a reload; its parts and the
+The coordinator owns the only view in a process and replaces its content at a reload; its parts and the
 frontends read it. It never parses a configuration file.
 """
 
@@ -10,7 +10,7 @@
 
 from puffinpost.balancing.settings import Settings
 
-# A delay report is sent once an echo takes longer than this part of the strictest message objective.
+# An echo is reported as slow if it takes longer than the strictest message latency objective divided by this.
 SLOW_ECHO_DIVISOR = 3
 
 
@@ -60,6 +60,6 @@
 
 
 def _index_by_name(names: Sequence[str]) -> dict[str, int]:
-    """Indexes by name. An opening line cannot hold a space or a comma in a name: ``_`` stands for both."""
+    """Indexes by name. A name in an opening line cannot contain a space or a comma: ``_`` replaces both."""
     escaped = {name.replace(" ", "_").replace(",", "_"): index for index, name in enumerate(names)}
     return {**escaped, **{name: index for index, name in enumerate(names)}}
--- a/puffinpost/proxy/tracing.py
+++ b/puffinpost/proxy/tracing.py
@@ -1,7 +1,7 @@
 """Writes a trace line for each event and action of the balancer that concerns a request.
 
-The dispatcher calls it around every decision, and it does nothing until an output is set. The fields ``ms=``,
-``n=`` and ``id=`` are read by tools outside the program and stay as they are.
+The dispatcher calls it around every decision, and it does nothing until an output is set. Tools outside the
+program read the fields ``ms=``, ``n=`` and ``id=``, so they must not change.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 from puffinpost.proxy.exchange_table import ExchangeTable
 from puffinpost.units import MS
 
-MAX_TRACED_REQUESTS = 4096  # exchanges whose request ids are kept after completion, for their last events
+# Exchanges whose request ids are kept after completion, to trace their last events.
+MAX_TRACED_REQUESTS = 4096
 
 
 class DecisionTracer:
-    """The trace of events and actions."""
+    """Writes the trace of events and actions."""
 
     def __init__(self, context: ProxyContext, exchanges: ExchangeTable) -> None:
         self.context = context
@@ -43,7 +44,7 @@
         exchange = self.exchanges.get(number)
         if exchange is not None and exchange.request.request_id is not None:
             self._request_ids[number] = exchange.request.request_id
-            # Exchanges that end without a last event would stay for ever.
+            # Exchanges that end without a last event would never be removed.
             while len(self._request_ids) > MAX_TRACED_REQUESTS:
                 del self._request_ids[next(iter(self._request_ids))]
         request_id = self._request_ids.get(number)
@@ -66,7 +67,7 @@
         )
 
     def _endpoint_list_line(self, update: EndpointListUpdate) -> str:
-        """The endpoint list as the balancer is given it: each one's name, status and start, in ms."""
+        """The endpoint list that the balancer receives: name, status and start in ms of each endpoint."""
         name = self.context.endpoints.endpoint_list.name
         entries = " ".join(
             f"{name(entry.endpoint)}={entry.status.name}@{entry.started_ns // MS}" for entry in update.entries
@@ -75,7 +76,7 @@
 
 
 def _field_text(value: object) -> str:
-    """A field of the trace, short: enums by name, requests by their number."""
+    """The short text of a trace field: enums by name, requests by number."""
     if isinstance(value, RequestReceived):
         return str(value.request)
     name = getattr(value, "name", None)
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator by itself, for races that cannot be forced through sockets."""
+"""The coordinator without sockets, for races that sockets cannot reproduce reliably."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 
 class CoordinatorHarness:
-    """A coordinator with a virtual clock; stands in for its ports and for the client of each exchange.
+    """A coordinator with a virtual clock; acts as its ports and as the client of each exchange.
 
-    ``calls_made`` has the names of the calls that the coordinator made, in their order.
+    ``calls_made`` lists the names of the calls that the coordinator made, in order.
     """
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
         heapq.heappush(self.timers, (self.now_ns + after_ns, next(self.timer_numbers), callback))
 
     def cancel(self, handle: Any) -> None:
-        pass  # a timer that fires late must have no effect
+        pass  # a cancelled timer fires anyway, which must have no effect
 
     def check_health(self, endpoint: EndpointId) -> None:
         raise AssertionError("the settings enable no health checks")
@@ -126,7 +126,9 @@
 
 
 @pytest.mark.parametrize("written", [False, True])
-def test_a_timeout_before_the_request_is_written_rejects_the_request(written: bool) -> None:
+def test_a_non_idempotent_request_is_rejected_at_its_deadline_only_if_it_was_not_written(
+    written: bool,
+) -> None:
     harness = CoordinatorHarness()
     harness.coordinator.open(SessionRequest(1, 3000 * MS), harness)  # not idempotent
     if written:
@@ -151,7 +153,7 @@
     assert harness.calls_made.count("reject") == 1 and not harness.coordinator.exchanges
 
 
-def test_a_balancer_that_starts_two_attempts_or_never_answers_is_contained(
+def test_an_extra_attempt_is_superseded_and_an_unanswered_request_fails_at_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = CoordinatorHarness()
@@ -181,10 +183,10 @@
     harness.coordinator.attempt_established(harness.attempts[0])
     if established:
 
-        def broken(event: LoadReported) -> None:
+        def raise_error(event: LoadReported) -> None:
             raise RuntimeError("boom")
 
-        monkeypatch.setattr(harness.coordinator.balancer.state, "update_load", broken)
+        monkeypatch.setattr(harness.coordinator.balancer.state, "update_load", raise_error)
         harness.coordinator.load_reported(harness.attempts[0], 5.0)
         assert (
             harness.calls_made == ["write_log", "migrate", "abort_attempt"]
@@ -207,7 +209,7 @@
     reported: list[ResponseOverdue] = []
     monkeypatch.setattr(
         harness.coordinator.attempts, "_on_timeout", lambda attempt: None
-    )  # this clock cancels nothing
+    )  # this clock cancels no timer
     exchange = harness.coordinator.open(SessionRequest(0, 3000 * MS), harness)
     harness.coordinator.attempt_established(harness.attempts[0])
     monkeypatch.setattr(harness.coordinator.balancer.outlier_detector, "on_response_overdue", reported.append)
@@ -217,7 +219,7 @@
     assert reported == []
     harness.coordinator.set_reading_paused(exchange, False)
     harness.run(2 * harness.coordinator.settings.dial_timeout_ns // MS)
-    assert reported == []  # waiting times start anew when the client reads again
+    assert reported == []  # waiting times restart when the client resumes reading
     harness.run(2000)
     assert [(it.request, it.endpoint) for it in reported] == [(exchange.number, harness.attempts[0].endpoint)]
     harness.coordinator.line_received(harness.attempts[0], 10, True)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: ids, outdated lists, and lists of which some entries are invalid."""
+"""The endpoint list: ids, outdated lists, and lists with invalid entries."""
 
 from __future__ import annotations
 
@@ -81,8 +81,8 @@
 
 
 @pytest.mark.parametrize("fault", ["status", "address", "start"])
-def test_a_drain_beside_an_invalid_entry_is_applied(world: World, fault: str) -> None:
-    """The client of the draining endpoint is migrated; new ones go to the valid one."""
+def test_a_drain_is_applied_although_another_entry_is_invalid(world: World, fault: str) -> None:
+    """The client of the draining endpoint is migrated; new clients are placed on the valid endpoint."""
     first, spare = world.servers
     node = world.start(transcribers=1)
     wait_for_list(world.discovery)
@@ -91,23 +91,23 @@
     attempt.line()
     attempt.send(b"UP 1\r\n")
     assert client.line() == b"UP 1\r\n"
-    bad, kept = Server(), []
+    invalid, attempts = Server(), []
     with world.discovery.changed:
         world.discovery.tell("s-1", spare.address)
-        world.discovery.tell("s-2", **{"address": bad.address, **INVALID_FIELDS[fault]})
+        world.discovery.tell("s-2", **{"address": invalid.address, **INVALID_FIELDS[fault]})
         world.discovery.tell("s-0", first.address, "draining")
     wait_for_list(world.discovery)
     assert is_migrated(client)
     for _ in range(3):
         other = node.client(fresh(OPEN % 3000))
-        kept.append(spare.accept())
-        kept[-1].line()
-        kept[-1].send(b"UP 2\r\n")
+        attempts.append(spare.accept())
+        attempts[-1].line()
+        attempts[-1].send(b"UP 2\r\n")
         assert other.line() == b"UP 2\r\n"
-    assert have_no_attempts(first, bad)
+    assert have_no_attempts(first, invalid)
     assert (
         node.counts()["entries_spoilt"] >= 1
-        and "endpoint list: 1 invalid entries, the first: " in node.log.read_text()
+        and "endpoint list has invalid entries count=1 first=" in node.log.read_text()
     )
     assert "s-2" in node.log.read_text()
 
@@ -123,7 +123,7 @@
 
 
 def test_an_outdated_list_does_not_undo_a_drain() -> None:
-    """A node may be redirected to a discovery that is behind the one before."""
+    """A node may be redirected to a discovery whose list is older than that of the previous one."""
     endpoint_list = EndpointList((), ())
 
     def is_ready_after(index: int, status: str, since_ms: int, full: bool = True) -> bool:
@@ -132,6 +132,6 @@
         return endpoint_list.accepts_new_work(endpoint_list.find("s-0") or 0)
 
     assert is_ready_after(9, "up", 5) and not is_ready_after(10, "draining", 5)
-    assert not is_ready_after(8, "up", 5), "its index is lower, and it is from before the drain"
-    assert is_ready_after(9, "up", 5, False), "it is newer than the list before: the drain was cancelled"
+    assert not is_ready_after(8, "up", 5), "its index is lower: it is from before the drain"
+    assert is_ready_after(9, "up", 5, False), "it is newer than the previous list: the drain was cancelled"
     assert not is_ready_after(10, "draining", 5) and is_ready_after(7, "up", 6), "the process has restarted"
