--- a/puffinpost/replication/gossip.py
+++ b/puffinpost/replication/gossip.py
@@ -36,7 +36,7 @@
 
     last_message_at: int = NEVER_NS
     positions: dict[Origin, ReplicaPosition] = field(default_factory=dict)  # as last announced
-    requested_at: int | None = None  # when the pending request was sent; None without one
+    requested_at: int | None = None  # when the pending request was sent; None if there is none
     paused_until: int = 0
 
     def has_announced(self, position: ReplicaPosition) -> bool:
--- a/puffinpost/replication/incarnations.py
+++ b/puffinpost/replication/incarnations.py
@@ -34,8 +34,8 @@
 class IncarnationManager:
     """Takes over from this node's earlier incarnations, and applies takeovers of other nodes' incarnations.
 
-    ``is_read_only`` is set when a later incarnation of this node appears after the takeover, which means that
-    another process runs under the node's name.
+    ``is_read_only`` is set when a later incarnation of this node appears after the takeover or a renumbering,
+    which means that another process runs under the node's name.
     """
 
     def __init__(
--- a/puffinpost/replication/row_server.py
+++ b/puffinpost/replication/row_server.py
@@ -1,7 +1,7 @@
 """Answers peers' requests for rows, within rate limits for each peer and for all of them together.
 
 `Gossip` owns the server. At most one request of each peer is pending, so peers that do not read their
-responses use no memory.
+responses use no additional memory.
 """
 
 from __future__ import annotations
