--- a/puffinpost/runtime/ban_follower.py
+++ b/puffinpost/runtime/ban_follower.py
@@ -1,4 +1,4 @@
-"""Follows the file of bans, which another process of the node may have changed."""
+"""Polls the ban file, which another process of the node may have changed."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class BanFollower:
-    """Applies the file's bans whenever they have changed."""
+    """Applies the bans of the file whenever they change."""
 
     def __init__(self, node: NodeServices) -> None:
         self.node = node
 
     def start(self) -> None:
-        """Begins to poll the file, until the process ends."""
+        """Starts polling the file; this goes on until the process ends."""
         self._poll()
 
     def _poll(self) -> None:
--- a/puffinpost/runtime/cluster_state.py
+++ b/puffinpost/runtime/cluster_state.py
@@ -1,7 +1,7 @@
 """Applies to one node what its cluster has agreed on: settings, bans and the endpoint list.
 
-The node creates it, and imports it only where ``[cluster]`` is on. It decides nothing about agreement itself:
-that is the consensus member's.
+The node imports and creates it only if ``[cluster]`` is on. The agreement itself is the consensus member's
+task.
 """
 
 from __future__ import annotations
@@ -29,72 +29,72 @@
 
 SETTINGS_DOCUMENT = "settings"
 BANS_DOCUMENT = merged_documents.BANS
-# Keys of the platform's settings that all nodes share; the others are each node's own.
+# Keys of the platform's settings that all nodes share; the other keys are set for each node separately.
 SHARED_SETTINGS = ("Classes", "Limits", "Tenants", "Rules")
 NS_PER_S = 10**9
 
 
 class ClusterState:
-    """The node's part in the cluster, and the coordinator's activation guard."""
+    """Connects a node to its cluster; also the activation guard of the node's coordinator."""
 
     def __init__(self, node: NodeServices, cluster_config: ClusterConfig) -> None:
         self.node = node
         self.config = cluster_config
-        self.base_config = node.config  # of the node's own file, without what is agreed on
+        self.base_config = node.config  # from the node's own file, without the agreed settings
         self.history = History(cluster_config.history, cluster_config.plan.name)
-        self.cluster = self._open_cluster()
-        self.endpoint_list = SharedEndpointList(node, cluster_config.plan, self.cluster, self.propose)
-        self.replicated_state = self._open_replicated_state()
-        self.cluster.restore_documents()
+        self.consensus = self._create_consensus_driver()
+        self.endpoint_list = SharedEndpointList(node, cluster_config.plan, self.consensus, self.propose)
+        self.replicated_state = self._create_replicated_state()
+        self.consensus.restore_documents()
         node.coordinator.use_activation_guard(self)
         node.coordinator.completion_listeners.append(self._on_exchange_completed)
 
-    def _open_cluster(self) -> ConsensusDriver:
+    def _create_consensus_driver(self) -> ConsensusDriver:
         node = self.node
         try:
             return ConsensusDriver(
                 self.config,
                 node.config.seed,
-                self.check,
-                self.change,
+                self.validate,
+                self.apply_version,
                 node.counters.add,
                 self._on_replicated_rows_changed,
             )
         except StoreError as problem:
             raise config.ConfigError("cluster.folder", str(problem)) from None
 
-    def _open_replicated_state(self) -> ReplicatedState | None:
-        if self.cluster.replica is None:
+    def _create_replicated_state(self) -> ReplicatedState | None:
+        if self.consensus.replica is None:
             return None
         from puffinpost.runtime.replicated_state import ReplicatedState
 
-        return ReplicatedState(self.node, self, self.cluster.replica)
+        return ReplicatedState(self.node, self, self.consensus.replica)
 
     def start(self) -> None:
-        """Begins to communicate with the other nodes."""
-        self.history.note("up")
-        self.cluster.start()
+        """Starts communication with the other nodes."""
+        self.history.record("up")
+        self.consensus.start()
         if self.replicated_state is not None:
             self.replicated_state.start()
         self.endpoint_list.start()
 
     async def stop(self) -> None:
         """Closes the connections to the other nodes."""
-        await self.cluster.stop()
+        await self.consensus.stop()
 
     # --- activation guard -----------------------------------------------------------------------------
 
     def can_start(self, request_class: str) -> bool:
-        """Whether an attempt for a new request of a class may start at this instant."""
-        return self.cluster.can_start(request_class)
+        """Whether an attempt of a new request of a class may start now."""
+        return self.consensus.can_start(request_class)
 
     def attempt_started(self, _request_class: str, endpoint: str) -> None:
-        """An attempt of a new request has started: this is when the node acts on its versions."""
-        acting = self.cluster.member.active_versions
+        """Records an attempt of a new request, and the versions that the node acts on at its start."""
+        active_versions = self.consensus.member.active_versions
         for name in (SETTINGS_DOCUMENT, BANS_DOCUMENT, LIST_DOCUMENT):
-            document, version = acting.documents.get(name), acting.version(name)
+            document, version = active_versions.documents.get(name), active_versions.version(name)
             if document is not None and version is not None:
-                self.history.note(
+                self.history.record(
                     "act",
                     doc=name,
                     number=version.number,
@@ -102,19 +102,19 @@
                     shared=document.latest_number(),
                     ident=version.proposal_id,
                 )
-        self.history.note("sent", ident=endpoint)
+        self.history.record("sent", ident=endpoint)
         if self.replicated_state is not None:
             self.replicated_state.attempt_started(endpoint)
 
     def _on_exchange_completed(self, completed: ExchangeCompleted) -> None:
-        self.cluster.member.response_counts.add(
+        self.consensus.member.response_counts.add(
             completed.answer in (FinalAnswer.REJECTED, FinalAnswer.FAILED)
         )
 
     # --- documents ------------------------------------------------------------------------------------
 
-    def check(self, document: str, content: Any) -> str:
-        """Why this node cannot act on a document's content, with its key; empty: it can."""
+    def validate(self, document: str, content: Any) -> str:
+        """Why this node cannot act on a document's content, with the key at fault; empty if it can."""
         if document == SETTINGS_DOCUMENT:
             try:
                 config.with_shared(self.base_config, content)
@@ -122,18 +122,18 @@
                 return str(problem)
             return retained_classes.retention_problem(content)
         if document in merged_documents.MERGED_DOCUMENTS:
-            return ""  # checked where it is proposed, and again where it is merged
+            return ""  # checked when it is proposed, and again when it is merged
         return f"{document}: there is no such document"
 
-    def change(self, document: str, version: Version) -> None:
-        """This node acts on another version from now on."""
+    def apply_version(self, document: str, version: Version) -> None:
+        """Makes this node act on a version of a document from now on."""
         if document == SETTINGS_DOCUMENT:
             self._apply_settings(version.content)
         elif document == BANS_DOCUMENT and not self._replicates_bans():
             self.apply_bans({str(name): int(since_ns) for name, since_ns in version.content.items()})
         elif document == LIST_DOCUMENT:
             self.endpoint_list.apply()
-        self.history.note(
+        self.history.record(
             "begins", doc=document, number=version.number, hash=version.hash, ident=version.proposal_id
         )
         log.info(
@@ -149,7 +149,7 @@
         name = self.config.plan.name
         now_ns = time.time_ns()
         proposal_id = f"{name}-{now_ns:x}"
-        self.cluster.propose(Propose(proposal_id, document, content, name, reason, now_ns // NS_PER_S))
+        self.consensus.propose(Propose(proposal_id, document, content, name, reason, now_ns // NS_PER_S))
         log.info("cluster: proposal sent", often=True, id=proposal_id, document=document, reason=reason)
         return proposal_id
 
@@ -160,22 +160,23 @@
         self.node.apply_configuration()
 
     def on_configuration_reloaded(self) -> None:
-        """SIGHUP read the node's own file again: its shared settings become a proposal."""
-        own_settings = self.node.config.raw.get("settings", {})
+        """Proposes the shared settings of the node's own file, which SIGHUP has reloaded."""
+        file_settings = self.node.config.raw.get("settings", {})
         self.base_config = self.node.config
-        content = {key: own_settings[key] for key in SHARED_SETTINGS if key in own_settings}
-        version = self.cluster.member.active_versions.version(SETTINGS_DOCUMENT)
+        content = {key: file_settings[key] for key in SHARED_SETTINGS if key in file_settings}
+        version = self.consensus.member.active_versions.version(SETTINGS_DOCUMENT)
         if version is not None:
             if isinstance(version.content, dict) and RETAINED_CLASSES_KEY in version.content:
                 content[RETAINED_CLASSES_KEY] = version.content[RETAINED_CLASSES_KEY]
-            self.change(SETTINGS_DOCUMENT, version)  # the agreed settings hold until the proposal is accepted
+            # The agreed settings stay in force until the proposal is accepted.
+            self.apply_version(SETTINGS_DOCUMENT, version)
         if version is None or digest(content) != version.hash:
             self.propose(SETTINGS_DOCUMENT, content, "SIGHUP")
 
     # --- bans -----------------------------------------------------------------------------------------
 
     def apply_bans(self, banned: dict[str, int]) -> None:
-        """All nodes ban these endpoints: names, each with when it was banned (Unix time, ns)."""
+        """Bans exactly these endpoints and updates the ban file: by name, the time of the ban (Unix, ns)."""
         ban_file = self.node.ban_file
         for name in sorted(ban_file.names.keys() ^ banned.keys()):
             try:
@@ -185,7 +186,7 @@
         self.node.apply_bans(banned)
 
     def request_ban(self, name: str, since_ns: int | None) -> str:
-        """An operator bans an endpoint at this node, or lifts its ban (None); returns the proposal's id."""
+        """Bans an endpoint, or lifts its ban if ``since_ns`` is None; returns an id for the operator."""
         if self.replicated_state is not None and self.replicated_state.replicates_bans:
             return self.replicated_state.request_ban(name, since_ns)
         if since_ns is None:
@@ -195,6 +196,6 @@
     def _replicates_bans(self) -> bool:
         return self.replicated_state is not None and self.replicated_state.replicates_bans
 
-    def _on_replicated_rows_changed(self, places: set[tuple[str, str]]) -> None:
+    def _on_replicated_rows_changed(self, row_keys: set[tuple[str, str]]) -> None:
         if self.replicated_state is not None:
-            self.replicated_state.on_rows_changed(places)
+            self.replicated_state.on_rows_changed(row_keys)
--- a/puffinpost/runtime/connection_runner.py
+++ b/puffinpost/runtime/connection_runner.py
@@ -8,7 +8,7 @@
 
 
 class ConnectionRunner:
-    """Starts a task for each connection, and keeps it until the connection has ended."""
+    """Starts a task for each connection, and keeps a reference to it until the connection has ended."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
--- a/puffinpost/runtime/frontends.py
+++ b/puffinpost/runtime/frontends.py
@@ -1,7 +1,7 @@
-"""The frontends of a node, built as its configuration has them, and the listeners that feed them.
+"""Builds the frontends that a node's configuration turns on, and opens their listeners.
 
-The node builds them once at its start. A frontend that is off is not even imported, so that a plain start
-stays quick.
+The node does this once at its start. A frontend that is off is not imported, which keeps the start of a node
+without it fast.
 """
 
 from __future__ import annotations
@@ -33,21 +33,21 @@
 class Frontend(Protocol):
     """Accepts connections of one protocol."""
 
-    def accept(self, link: Connection, /) -> Receiver:
-        """A client has connected; returns what receives the connection's data."""
+    def accept(self, connection: Connection, /) -> Receiver:
+        """Accepts a client's connection; returns the receiver of its data."""
 
     def reject_without_descriptor(self, connection: socket.socket, /) -> None:
-        """Answers a connection for which there is no descriptor but the spare one."""
+        """Rejects a connection for which only the spare descriptor is left."""
 
 
 @dataclass(frozen=True, slots=True)
 class Frontends:
-    """The platform's frontend, those that the operator's file turns on, and their resumable sessions."""
+    """The platform's frontend, those that the operator's file turns on, and their session registry."""
 
     platform: PlatformFrontend
     xmpp: XmppFrontend | None = None
     mqtt: MqttFrontend | None = None
-    registry: SessionRegistry | None = None  # where XMPP or MQTT is on
+    registry: SessionRegistry | None = None  # None if XMPP and MQTT are off
 
     @property
     def resumable(self) -> list[XmppFrontend | MqttFrontend]:
@@ -58,7 +58,7 @@
 def build_frontends(
     config: Config, coordinator: Coordinator, connector: UpstreamConnector, admission: ConnectionAdmission
 ) -> Frontends:
-    """The frontends that a configuration asks for; sessions of theirs begin to expire from now on."""
+    """Builds the frontends that the configuration turns on, and starts the expiry of their sessions."""
     platform = PlatformFrontend(coordinator, connector, admission)
     if config.xmpp is None and config.mqtt is None:
         return Frontends(platform)
@@ -87,16 +87,16 @@
     runner: ConnectionRunner,
     bind: Callable[[Address], socket.socket],
 ) -> list[Listener]:
-    """Starts to accept clients, the platform's first. ``bind`` returns a socket that listens on an address.
+    """Opens the listeners, the platform's first. ``bind`` returns a socket that listens on an address.
 
-    Raises ``OSError`` where a socket cannot be had.
+    Raises ``OSError`` if a socket cannot be opened.
     """
 
-    def listen(frontend: Frontend, listening: socket.socket) -> Listener:
+    def listen(frontend: Frontend, listening_socket: socket.socket) -> Listener:
         def on_accepted(connection: Connection) -> None:
             runner.run_connection(connection, frontend.accept(connection))
 
-        return Listener(listening, admission, on_accepted, frontend.reject_without_descriptor)
+        return Listener(listening_socket, admission, on_accepted, frontend.reject_without_descriptor)
 
     inherited = config.inherited_descriptor
     platform_socket = bind(config.listen) if inherited is None else adopt_listener(inherited)
--- a/puffinpost/runtime/graceful_shutdown.py
+++ b/puffinpost/runtime/graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: answers what still arrives, migrates established sessions, and ends in time.
+"""Graceful shutdown: answers requests that still arrive, migrates established sessions, and ends in time.
 
-The node runs it once, after SIGTERM. It ends before the platform would send SIGKILL, whatever clients do.
+The node runs it once, after SIGTERM. It ends before the platform sends SIGKILL, whatever clients do.
 """
 
 from __future__ import annotations
@@ -17,46 +17,49 @@
 from puffinpost.proxy.coordinator import Coordinator
 from puffinpost.proxy.exchange import Exchange
 
-# After SIGTERM the platform still sends clients for up to 0.4 s. SIGKILL comes no sooner than the longest
-# deadline (3 s at most) and 0.7 s later.
+# After SIGTERM the platform still routes clients to this process for up to 0.4 s. It sends SIGKILL no sooner
+# than the longest deadline (at most 3 s) plus 0.7 s.
 ACCEPT_S = 0.5
 MAX_DEADLINE_S = 3.0
-FINAL_ANSWERS_S = 0.38  # for requests that came last; the rest of the time until SIGKILL is for the exit
-# Migration ends this much earlier: for sessions that are established late, and for MOVE to be read.
-LAST_MIGRATION_S = 0.4
-# After the final answers: an exit over unread bytes is a reset, and the client would lose its answer.
-FINAL_READS_S = 0.04
-# Migrated sessions are established anew at endpoints that have other work, so they are spread; but not over
-# all the time there is. Where nodes restart one after the other, a late client finds the last one back.
+FINAL_ANSWERS_S = 0.38  # to answer the last requests; the rest of the time until SIGKILL is for the exit
+# Migration ends this long before the shutdown does: sessions may be established late, and clients have to
+# read MOVE.
+MIGRATION_MARGIN_S = 0.4
+# The wait after the final answers: an exit while bytes are unread resets the connection, and the client
+# loses its answer.
+FINAL_READ_TIMEOUT_S = 0.04
+# Migration is spread over this time, because migrated sessions are established again at endpoints that have
+# other work. It does not begin as early as possible: in a rolling restart, a client that is migrated later
+# finds the node that restarted before this one up again.
 MIGRATION_SPREAD_S = 1.6
 POLL_INTERVAL_S = 0.02
 NS_PER_S = 1e9
 
 
 class ResumableFrontend(Protocol):
-    """A frontend whose connections outlive their sessions."""
+    """A frontend whose sessions outlive their connections."""
 
     draining: bool
 
     def close_connections(self) -> None:
-        """Ends the connections that are left."""
+        """Closes the remaining connections."""
 
 
 class HandoverProgress(Protocol):
-    """How far a successor has taken over."""
+    """The progress of a handover to a successor."""
 
     @property
     def has_successor(self) -> bool:
-        """Whether another process accepts in this one's place and is given the established sessions."""
+        """Whether another process accepts clients in place of this one and receives established sessions."""
 
     @property
     def has_pending_sessions(self) -> bool:
-        """Whether resumable sessions have still to be handed over."""
+        """Whether resumable sessions remain to be handed over."""
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """The moments of a shutdown, in seconds of the event loop's clock."""
+    """When the steps of a shutdown take place, in seconds of the event loop's clock."""
 
     stop_accepting: float
     begin_migration: float
@@ -64,17 +67,17 @@
     end: float
 
     @classmethod
-    def starting_at(cls, now: float, longest_deadline_s: float) -> Schedule:
-        """The schedule where the longest deadline of a request is as given."""
+    def starting_at(cls, now: float, max_deadline_s: float) -> Schedule:
+        """The schedule of a shutdown that begins now, given the longest deadline of any request class."""
         stop_accepting = now + ACCEPT_S
-        end = now + min(longest_deadline_s, MAX_DEADLINE_S) + FINAL_ANSWERS_S
-        begin = max(stop_accepting, end - LAST_MIGRATION_S - MIGRATION_SPREAD_S)
-        span = max(POLL_INTERVAL_S, end - LAST_MIGRATION_S - begin)
+        end = now + min(max_deadline_s, MAX_DEADLINE_S) + FINAL_ANSWERS_S
+        begin = max(stop_accepting, end - MIGRATION_MARGIN_S - MIGRATION_SPREAD_S)
+        span = max(POLL_INTERVAL_S, end - MIGRATION_MARGIN_S - begin)
         return cls(stop_accepting, begin, begin + span, end)
 
 
 class GracefulShutdown:
-    """Ends all service of a node."""
+    """Shuts a node down."""
 
     def __init__(
         self,
@@ -94,9 +97,11 @@
         self._now: Callable[[], float] = asyncio.get_running_loop().time
 
     async def run(self) -> None:
-        """Ends all service; returns once the process may exit."""
-        longest_ns = max(request_class.deadline_ns for request_class in self.coordinator.settings.classes)
-        schedule = Schedule.starting_at(self._now(), longest_ns / NS_PER_S)
+        """Shuts the node down; returns once the process may exit."""
+        max_deadline_ns = max(
+            request_class.deadline_ns for request_class in self.coordinator.settings.classes
+        )
+        schedule = Schedule.starting_at(self._now(), max_deadline_ns / NS_PER_S)
         for frontend in self.resumable_frontends:
             frontend.draining = True
         self.platform.draining = True
@@ -104,16 +109,16 @@
         await self._wait_until(schedule.stop_accepting)
         for listener in self.listeners:
             listener.close()
-        # Idle clients wait for no answer. A request that one of them writes just now is answered by the
-        # close itself.
+        # Idle clients do not wait for an answer. If one of them sends a request at this moment, the close is
+        # its answer.
         self.admission.close_idle(self.platform.pending_connection_type)
         await self._wait_until(schedule.begin_migration)
         await self._migrate_established(schedule)
         self._answer_remaining()
-        await self._wait_for_reads(schedule.end + FINAL_READS_S)
+        await self._wait_for_reads(schedule.end + FINAL_READ_TIMEOUT_S)
 
     def _is_complete(self) -> bool:
-        """Whether a successor has everything, so that nothing is left to wait for."""
+        """Whether a successor has taken over everything, so that there is nothing left to wait for."""
         return (
             self.handover.has_successor
             and not self.handover.has_pending_sessions
@@ -128,7 +133,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _migrate_established(self, schedule: Schedule) -> None:
-        """Migrates sessions in random order, evenly over the time, and those that are established late."""
+        """Migrates sessions in random order and evenly spread, then those that are established late."""
         queue = self.coordinator.established_exchanges()
         random.shuffle(queue)
         span = schedule.end_migration - schedule.begin_migration
@@ -157,7 +162,7 @@
             frontend.close_connections()
 
     async def _wait_for_reads(self, deadline: float) -> None:
-        """Waits until clients have read their final answers: an exit would reset those that have not."""
+        """Waits until clients have read their final answers: an exit would reset connections before that."""
         await asyncio.sleep(POLL_INTERVAL_S)
         while self.admission.closing and self._now() < deadline:
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/puffinpost/runtime/handover_messages.py
+++ b/puffinpost/runtime/handover_messages.py
@@ -1,7 +1,7 @@
-"""The messages that two processes of one node exchange during a hot restart, and their form on the channel.
+"""The messages that two processes of one node exchange during a hot restart, and their encoding.
 
-Both sides of the handover use it; it sends and receives nothing itself. The names of keys on the channel are
-known to this module alone, because a process of an earlier or later version may be at the other end.
+Both sides of the handover use it; it does no I/O. The process at the other end may be of an earlier or later
+version, so keys on the channel stay when an attribute is renamed; only this module maps them to attributes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 KIND_KEY = "do"
 
-# Keys on the channel, and the fields that they stand for.
+# By key on the channel, the name of the field.
 _ENDPOINT_KEYS = {
     "server": "endpoint",
     "load": "load",
@@ -41,11 +41,11 @@
 
 
 class Ready(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="ready"):
-    """From the successor: it can serve, and asks to take over."""
+    """Sent by the successor: it can serve, and requests the takeover."""
 
 
 class Takeover(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="yours"):
-    """From the predecessor, in answer to ``Ready``; its listening sockets go along in the same order."""
+    """Sent by the predecessor in answer to ``Ready``, with the sockets of its listening addresses."""
 
     process_id: int = msgspec.field(name="process")
     active_request_ids: list[int] = msgspec.field(name="idents")
@@ -55,22 +55,23 @@
 
 
 class RequestIdReleased(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="free"):
-    """From the predecessor: no request of that id is active there any more."""
+    """Sent by the predecessor: it has no active request with that id any more."""
 
     request_id: int = msgspec.field(name="ident")
 
 
 class DescriptorsUsed(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="taken"):
-    """From the predecessor: how many descriptors its client connections use now."""
+    """Sent by the predecessor: how many descriptors its client connections use now."""
 
     count: int = msgspec.field(name="taken")
 
 
 @dataclass(frozen=True, slots=True)
 class EstablishedSessionHandover:
-    """From the predecessor: a session on the platform's lines, with the sockets of its client and endpoint.
+    """Sent by the predecessor: an established session, with the sockets of its client and endpoint.
 
-    ``state`` is what the coordinator and the platform frontend wrote, for their counterparts to read.
+    It is of the platform's line protocol. ``state`` is written by the coordinator and the platform frontend,
+    and read by their counterparts.
     """
 
     KIND: ClassVar[str] = "session"
@@ -90,9 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumableSessionHandover:
-    """From the predecessor: a session that outlives its connections, with the sockets of those that are up.
+    """Sent by the predecessor: a session that outlives its connections, with the sockets of the open ones.
 
-    ``state`` is what the session's frontend wrote, for its counterpart to read.
+    ``state`` is written by the session's frontend, and read by its counterpart.
     """
 
     KIND: ClassVar[str] = "device"
@@ -100,12 +101,12 @@
 
     @property
     def is_xmpp(self) -> bool:
-        """Whether the XMPP frontend wrote it; else the MQTT frontend did."""
+        """Whether the XMPP frontend wrote it; otherwise the MQTT frontend did."""
         return bool(self.state["kind"] == "xmpp")
 
     @property
     def request_class(self) -> str:
-        """The name of the request's class; only there if an endpoint is connected."""
+        """The name of the request's class; present only if an endpoint is connected."""
         return str(self.state["class"])
 
     @property
@@ -127,7 +128,7 @@
 
 
 def encode(message: Message) -> HandoverMessage:
-    """A message as a map for the channel."""
+    """Converts a message to a map for the channel."""
     if isinstance(message, EstablishedSessionHandover | ResumableSessionHandover):
         return {KIND_KEY: message.KIND, **message.state}
     encoded: HandoverMessage = msgspec.to_builtins(message)
@@ -135,9 +136,9 @@
 
 
 def decode(data: HandoverMessage) -> Message | None:
-    """The message that a map stands for; None for a kind that this version does not know.
+    """Converts a map to its message; returns None for a kind that this version does not know.
 
-    Raises ``KeyError`` where the kind is missing, ``msgspec.ValidationError`` where a field does not fit.
+    Raises ``KeyError`` if the kind is missing, ``msgspec.ValidationError`` if a field is missing or invalid.
     """
     kind = data[KIND_KEY]
     if kind == EstablishedSessionHandover.KIND:
@@ -149,7 +150,7 @@
 
 
 def encode_learned_state(learned: LearnedState) -> dict[str, Any]:
-    """What a balancer has learned, as a map for the channel."""
+    """Converts what a balancer has learned to a map for the channel."""
     endpoints = [
         {key: getattr(endpoint, field) for key, field in _ENDPOINT_KEYS.items()}
         for endpoint in learned.endpoints
@@ -159,7 +160,7 @@
 
 
 def decode_learned_state(data: dict[str, Any]) -> LearnedState:
-    """The opposite of ``encode_learned_state``. Raises ``KeyError`` or ``TypeError`` for another map."""
+    """The inverse of ``encode_learned_state``. Raises ``KeyError`` or ``TypeError`` for an invalid map."""
     endpoints = tuple(
         LearnedEndpointState(**{_ENDPOINT_KEYS[key]: value for key, value in endpoint.items()})
         for endpoint in data["servers"]
--- a/puffinpost/runtime/handover_receiver.py
+++ b/puffinpost/runtime/handover_receiver.py
@@ -1,7 +1,7 @@
-"""The successor's side of a hot restart: this process takes over from one that runs already.
+"""The successor's side of a hot restart: this process takes over from another one that is already running.
 
-The node asks it to connect and take over once it can serve. Sessions arrive on the channel from then on and
-are given to the frontends; it never accepts a client itself.
+The node calls it once this process can serve. From then on sessions arrive on the channel and are passed to
+the frontends; it never accepts a client itself.
 """
 
 from __future__ import annotations
@@ -36,25 +36,25 @@
 if TYPE_CHECKING:
     from puffinpost.frontends.mqtt import MqttSession
 
-# A predecessor that does not answer for this long is taken to be stuck, and is not waited for.
+# A predecessor that does not answer within this time is considered stuck, and the start goes on without it.
 TAKEOVER_TIMEOUT_S = 1.0
 
 Address = tuple[str, int]
 
 
 class FrontendDisabledError(ValueError):
-    """A session comes from a frontend that is off in this process."""
+    """A session was handed over for a frontend that is off in this process."""
 
     def __init__(self, protocol: str) -> None:
-        super().__init__(f"no {protocol} front is on")
+        super().__init__(f"the {protocol} frontend is off in this process")
         self.protocol = protocol
 
 
 class HandoverReceiver:
     """Takes over listening sockets, learned state, request ids and sessions from the predecessor.
 
-    ``add_closed_class`` makes known a class of theirs that this process's configuration lacks.
-    ``reserved_descriptors``: what a process needs beside its clients.
+    ``add_closed_class`` adds a session's request class that this process's configuration does not have.
+    ``reserved_descriptors``: how many descriptors a process needs besides those of its clients.
     """
 
     def __init__(
@@ -74,22 +74,22 @@
         self.reserved_descriptors = reserved_descriptors
         self._channel: HandoverChannel | None = None
         self._takeover: asyncio.Future[Takeover] | None = None
-        self._sockets: dict[Address, socket.socket] = {}  # that were handed over and are not in use yet
+        self._sockets: dict[Address, socket.socket] = {}  # handed over, not in use yet
 
     def connect(self, path: Path) -> bool:
-        """Connects to a process of this node that listens on a Unix socket; whether there is one."""
+        """Connects to a process of this node that listens on a Unix socket; returns whether there is one."""
         channel = connect(path)
         if channel is None:
             return False
         self._channel = channel
-        channel.on_message, channel.on_closed = self._on_message, self._on_predecessor_gone
+        channel.on_message, channel.on_closed = self._on_message, self._on_predecessor_disconnected
         return True
 
     async def take_over(self) -> None:
-        """Takes over from the predecessor, or gives up on it. To be called once this process can serve."""
+        """Takes over from the predecessor, or gives up on it. Called once this process can serve."""
         channel = self._channel
         if channel is None:
-            return  # it has ended meanwhile
+            return  # the predecessor has ended in the meantime
         self._takeover = asyncio.get_running_loop().create_future()
         channel.send(encode(Ready()))
         try:
@@ -97,18 +97,18 @@
             self.coordinator.request_ids.predecessor.update(takeover.active_request_ids)
             self.coordinator.restore_learned_state(decode_learned_state(takeover.learned_state))
         except (TimeoutError, ConnectionError, KeyError, TypeError, ValueError) as problem:
-            log.info("hot restart: no answer from the predecessor", reason=repr(problem))
+            log.info("hot restart: takeover failed", reason=repr(problem))
             channel.close()
-            self._on_predecessor_gone()
+            self._on_predecessor_disconnected()
             return
         log.info("hot restart: took over from the predecessor", process_id=takeover.process_id)
 
     def listening_socket(self, address: Address) -> socket.socket:
-        """A socket that listens on an address: the one that was handed over, else a new one."""
+        """A socket that listens on an address: the one that was handed over, otherwise a new one."""
         return self._sockets.pop(address, None) or bind_listener(address)
 
     def close_unused_sockets(self) -> None:
-        """Closes the listening sockets that were handed over and that this process has no use for."""
+        """Closes the listening sockets that were handed over but that this process does not use."""
         for unused in self._sockets.values():
             unused.close()
 
@@ -158,7 +158,7 @@
         self.frontends.xmpp.adopt_session(message.state)
 
     def _adopt_mqtt(self, message: ResumableSessionHandover, sockets: list[socket.socket]) -> None:
-        """A device's session with the connections that it has: client, upstream, both or none."""
+        """Adopts a device's session with its open connections: client, upstream, both or none."""
         connections = [Connection(create_stream(each), self.admission) for each in sockets]
         client = connections.pop(0) if message.has_client_connection else None
         upstream = connections.pop(0) if connections else None
@@ -167,7 +167,7 @@
         try:
             device = self._restore_mqtt(message, client, upstream)
         except (KeyError, TypeError, ValueError) as problem:
-            # Guards the endpoint: a session that no process holds must end there.
+            # A session that no process has must end at the endpoint too, so its connections are closed.
             log.info("hot restart: session rejected", protocol="mqtt", reason=repr(problem))
             for connection in (client, upstream):
                 if connection is not None:
@@ -189,9 +189,9 @@
         if name not in self.coordinator.settings_view.class_indexes:
             self.add_closed_class(name)
 
-    def _on_predecessor_gone(self) -> None:
+    def _on_predecessor_disconnected(self) -> None:
         self._channel = None
         self.coordinator.request_ids.predecessor.clear()
         self.admission.set_predecessor_usage(0)
         if self._takeover is not None and not self._takeover.done():
-            self._takeover.set_exception(ConnectionError("it ended"))
+            self._takeover.set_exception(ConnectionError("the predecessor closed the channel"))
--- a/puffinpost/runtime/handover_sender.py
+++ b/puffinpost/runtime/handover_sender.py
@@ -1,7 +1,8 @@
-"""The predecessor's side of a hot restart: this process hands over to one that was started after it.
+"""The predecessor's side of a hot restart: this process hands over to another one that was started later.
 
-It listens for the successor, stops accepting once that can serve, and passes on listening sockets, learned
-state and then sessions until the process ends. If the successor fails, this process accepts clients again.
+It listens for the successor. Once the successor can serve, this process stops accepting clients, and hands
+over its listening sockets, its learned state and then sessions until it ends. If the successor fails, it
+accepts clients again.
 """
 
 from __future__ import annotations
@@ -41,17 +42,17 @@
 )
 
 BATCH_INTERVAL_S = 0.02
-BATCH_SIZE = 32  # sessions handed over before other work gets its turn
+BATCH_SIZE = 32  # sessions handed over before the event loop runs other callbacks
 
 
 class HandoverSession(Protocol):
-    """A frontend's session that another process can carry on."""
+    """A frontend's session that another process can continue."""
 
     def prepare_handover(self) -> tuple[dict[str, Any], list[Connection]] | None:
-        """Its state and its connections; None where it cannot be handed over just now."""
+        """Its state and its connections; None if it cannot be handed over now."""
 
     def release_to_successor(self) -> None:
-        """Another process has the session."""
+        """Called once another process has the session."""
 
 
 class HandoverSender:
@@ -70,7 +71,7 @@
         self._reported_descriptors = -1
 
     def listen(self, path: Path, listeners: list[Listener]) -> None:
-        """Waits for a successor on a Unix socket. ``listeners`` are what it is given."""
+        """Listens for a successor on a Unix socket. ``listeners`` are handed over to it."""
         self._listeners = listeners
         try:
             self._handover_listener = HandoverListener(path, self._on_connection)
@@ -79,12 +80,12 @@
 
     @property
     def has_successor(self) -> bool:
-        """Whether another process accepts in this one's place."""
+        """Whether another process accepts clients in place of this one."""
         return self._channel is not None
 
     @property
     def has_pending_sessions(self) -> bool:
-        """Whether sessions that outlive their connections have still to be handed over."""
+        """Whether sessions that outlive their connections remain to be handed over."""
         registry = self.frontends.registry
         return (
             self.has_successor
@@ -103,7 +104,7 @@
         if self._channel is not None:
             self._channel.close()
         self._channel = channel
-        channel.on_closed = self._on_successor_gone
+        channel.on_closed = self._on_successor_disconnected
         for listener in self._listeners:
             listener.pause()
         log.info("hot restart: successor takes over")
@@ -126,8 +127,8 @@
         if self._channel is not None:
             self._channel.send(encode(RequestIdReleased(request_id)))
 
-    def _on_successor_gone(self) -> None:
-        """Guards the clients against a successor that fails: this process serves on."""
+    def _on_successor_disconnected(self) -> None:
+        """Accepts clients again, unless this process is draining: the successor has failed."""
         self._channel = None
         if not self.frontends.platform.draining:
             log.info("hot restart: successor disconnected")
@@ -135,7 +136,7 @@
                 listener.resume()
 
     def _send_batch(self) -> None:
-        """Hands over what can go now, and repeats that until this process ends."""
+        """Hands over sessions that are ready for it; repeats this at an interval until the process ends."""
         asyncio.get_running_loop().call_later(BATCH_INTERVAL_S, self._send_batch)
         channel = self._channel
         if channel is None:
@@ -145,7 +146,7 @@
         self._report_descriptors(channel)
 
     def _send_established(self, channel: HandoverChannel) -> int:
-        """Hands over at most a batch of established sessions; how many."""
+        """Hands over at most a batch of established sessions; returns how many."""
         sent = 0
         for exchange in self.coordinator.established_exchanges():
             if sent == BATCH_SIZE or channel.closed:
@@ -170,14 +171,14 @@
             channel.send(encode(DescriptorsUsed(used)))
 
     def _send_exchange(self, channel: HandoverChannel, exchange: Exchange) -> bool:
-        """Hands over one established session; whether it is the successor's now."""
+        """Hands over one established session; returns whether the successor has it now."""
         session = exchange.client
         if not isinstance(session, PlatformSession):
             return False
-        packed = session.prepare_handover()
-        if packed is None:
+        prepared = session.prepare_handover()
+        if prepared is None:
             return False
-        session_state, connections = packed
+        session_state, connections = prepared
         message = encode(
             EstablishedSessionHandover({**self.coordinator.handover_state(exchange), **session_state})
         )
@@ -188,11 +189,11 @@
         return True
 
     def _send_session(self, channel: HandoverChannel, session: HandoverSession) -> bool:
-        """Hands over one resumable session; whether it is the successor's now."""
-        packed = session.prepare_handover()
-        if packed is None:
+        """Hands over one resumable session; returns whether the successor has it now."""
+        prepared = session.prepare_handover()
+        if prepared is None:
             return False
-        state, connections = packed
+        state, connections = prepared
         message = encode(ResumableSessionHandover(state))
         if len(orjson.dumps(message)) > MAX_MESSAGE_BYTES:
             return False
--- a/puffinpost/runtime/loop_clock.py
+++ b/puffinpost/runtime/loop_clock.py
@@ -1,4 +1,4 @@
-"""The event loop's timers, on a clock that starts at the Unix time and then only advances."""
+"""The event loop's timers, and a monotonic clock that starts at the Unix time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self._loop = asyncio.get_running_loop()
 
     def now(self) -> int:
-        """Nanoseconds since the Unix epoch, as of the start plus the monotonic time since."""
+        """Nanoseconds since the Unix epoch: the wall clock at the start plus the monotonic time since."""
         return time.monotonic_ns() + self._offset_ns
 
     def call_later(self, after_ns: int, callback: Callable[[], None]) -> Any:
@@ -36,5 +36,5 @@
     def _call(callback: Callable[[], None]) -> None:
         try:
             callback()
-        except Exception:  # noqa: BLE001 (border: a timer that fails must not stop the others)
+        except Exception:  # noqa: BLE001 (boundary: a failure of one timer must not stop the others)
             log.exception("timer callback failed")
--- a/puffinpost/runtime/node.py
+++ b/puffinpost/runtime/node.py
@@ -1,7 +1,6 @@
-"""One node: creates its parts from the configuration and connects them.
+"""Creates the parts of a node from its configuration and connects them.
 
-The process of a node runs it. What the parts do is theirs; this module only wires them and gives the
-coordinator its ports.
+`NodeProcess` runs the node. This module only wires the parts, and implements the coordinator's ports.
 """
 
 from __future__ import annotations
@@ -138,7 +137,7 @@
     # --- the coordinator's ports --------------------------------------------------------------------
 
     def check_health(self, endpoint: EndpointId) -> None:
-        """Starts a health check; the coordinator is given its result."""
+        """Starts a health check; its result is passed to the coordinator."""
         address = self.endpoint_list.addresses.get(endpoint)
         if address is None:
             asyncio.get_running_loop().call_soon(
@@ -148,7 +147,7 @@
             self.health_checker.check(endpoint, address)
 
     def poll_endpoint_list(self) -> None:
-        """Starts to watch discovery, unless other nodes do that for this one."""
+        """Starts the watch of discovery, unless other nodes poll for this one."""
         if self.cluster_state is None or self.cluster_state.endpoint_list.polls_discovery():
             self.discovery_client.start()
 
@@ -156,33 +155,33 @@
         """Writes a line to the log."""
         log.info(text)
 
-    # --- what the parts ask of the node -------------------------------------------------------------
+    # --- called by the parts ------------------------------------------------------------------------
 
     def apply_configuration(self) -> None:
-        """Gives the settings and classes of ``config`` to the coordinator."""
+        """Passes the settings and classes of ``config`` to the coordinator."""
         current = self.config
         self.coordinator.apply_settings(current.settings, current.class_names, current.closed_classes)
 
     def apply_bans(self, banned: dict[str, int]) -> None:
-        """Has exactly these endpoints banned: names, each with when it was banned (Unix time, ns)."""
+        """Bans exactly these endpoints: by name, the time of the ban (Unix time, ns)."""
         self.coordinator.apply_bans(banned)
         self.health_checker.close_unwanted(self.coordinator.accepts_new_work)
 
     def _endpoint_list_index(self) -> int:
-        """The index of discovery's last answer here.
+        """The index of discovery's last answer to this node.
 
-        The agreed list has none for answers that changed nothing.
+        The index of the agreed list may be lower: answers that change nothing are not proposed.
         """
-        answered = self.cluster_state.endpoint_list.index() if self.cluster_state is not None else 0
-        return max(self.endpoint_list.index, answered)
+        last_answer_index = self.cluster_state.endpoint_list.index() if self.cluster_state is not None else 0
+        return max(self.endpoint_list.index, last_answer_index)
 
     def _on_discovery_answer(self, answer: dict[str, Any]) -> None:
         if self.cluster_state is not None and self.cluster_state.endpoint_list.on_discovery_answer(answer):
-            return  # it arrives again as what all nodes have agreed on
+            return  # the list is applied once the nodes have agreed on it
         self.coordinator.endpoint_list_received(answer)
         self.health_checker.close_unwanted(self.coordinator.accepts_new_work)
 
     def _add_closed_class(self, name: str) -> None:
-        """Connections are handed over of a class that the configuration does not have any more."""
+        """Adds a class that the configuration no longer has, for connections of it that are handed over."""
         self.config = config.with_closed(self.config, name)
         self.apply_configuration()
--- a/puffinpost/runtime/node_process.py
+++ b/puffinpost/runtime/node_process.py
@@ -1,6 +1,6 @@
 """The process of a node: starts it, handles signals, and shuts it down after SIGTERM.
 
-``main`` is the program without a sub-command. ``NodeProcess.run`` has the steps of the start in their order.
+``main`` is the program without a subcommand. ``NodeProcess.run`` has the steps of the start in order.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 from puffinpost.runtime.node import Node
 from puffinpost.runtime.reload import reload_configuration
 
-# Before a predecessor is replaced. A start has to be ready within 6 s, with or without a current list.
+# The wait before a predecessor is replaced. A process must be ready within 6 s of its start, with or without
+# a current list.
 HANDOVER_LIST_TIMEOUT_S = 4.0
-# What a local agent has counts as known to a process from its first moment on, so it is polled first.
+# The list of a local agent counts as known to a process from its start, so the agent is polled first.
 AGENT_LIST_TIMEOUT_S = 1.0
 START_LIST_TIMEOUT_S = STARTUP_LIST_TIMEOUT_NS / 1e9
 
@@ -39,7 +40,7 @@
         self.node = node
 
     async def run(self, blocked_signals: Iterable[signal.Signals]) -> None:
-        """Serves until SIGTERM, then shuts down. ``blocked_signals`` are blocked until there are handlers."""
+        """Serves until SIGTERM, then shuts down. Unblocks ``blocked_signals`` once they have handlers."""
         self._handle_signals(blocked_signals)
         self._apply_startup_endpoint_list()
         self.node.coordinator.apply_bans(self.node.ban_file.names)
@@ -49,7 +50,7 @@
             self.node.cluster_state.start()
         await self._wait_for_endpoint_list()
         await self._take_over()
-        await asyncio.sleep(0)  # lets a signal that was blocked be handled
+        await asyncio.sleep(0)  # lets the handler of a signal that was blocked run
         if self.node.stop_requested.is_set():
             log.info("stopped before listening", node=self.node.config.name)
             return
@@ -70,9 +71,9 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, blocked_signals)
 
     def _apply_startup_endpoint_list(self) -> None:
-        """Puts the list in force that the node was started with. Raises ``ConfigError`` for a bad one."""
+        """Applies the list that the node was started with. Raises ``ConfigError`` if it is invalid."""
         if not self.node.config.startup_endpoint_list:
-            # Nothing can be served yet, but the balancer has to be woken to poll for a list.
+            # No request can be served yet, but the balancer must start to poll for a list.
             self.node.coordinator.endpoint_list_failed()
             return
         try:
@@ -102,7 +103,7 @@
             await self.node.readiness.wait_for_endpoint_list(START_LIST_TIMEOUT_S)
 
     async def _take_over(self) -> None:
-        """Takes over from a process of this node, if one runs, once this one can serve as well."""
+        """Takes over from a running process of this node, if there is one, once this one can serve too."""
         if self.node.hot_restart.connect_to_predecessor():
             await self.node.readiness.wait_for_endpoint_list(HANDOVER_LIST_TIMEOUT_S)
             await self.node.hot_restart.take_over()
@@ -157,7 +158,7 @@
 
 
 def main(blocked_signals: Iterable[signal.Signals] = ()) -> int:
-    """Runs a node to its end; the exit code. ``blocked_signals`` are blocked until there are handlers."""
+    """Runs a node to its end; returns the exit code. Unblocks ``blocked_signals`` once they have handlers."""
     try:
         event_loop.run(_run_node(blocked_signals))
     except config.ConfigError as problem:
--- a/puffinpost/runtime/node_services.py
+++ b/puffinpost/runtime/node_services.py
@@ -1,7 +1,7 @@
-"""The parts of a node and of its cluster state that other parts share, as protocols.
+"""Protocols of a node and of its cluster state, for the parts that act on them.
 
-Cluster state, replicated state, the ban follower and the reload act on these, so that they need not import
-what creates them.
+Cluster state, replicated state, the ban follower and the reload use these protocols, so that they need not
+import the modules that create them.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from puffinpost.observability.counters import Counters
 from puffinpost.proxy.coordinator import Coordinator
 
-if TYPE_CHECKING:  # a node without a cluster does not load these
+if TYPE_CHECKING:  # a node without a cluster does not import these
     from puffinpost.config.cluster import ClusterConfig
     from puffinpost.runtime.history import History
 
 
 class NodeServices(Protocol):
-    """A node's shared parts. ``config`` is what is in force now, and is replaced as a whole."""
+    """A node's shared parts. ``config`` is the configuration in force; it is replaced as a whole."""
 
     config: Config
     counters: Counters
@@ -31,17 +31,17 @@
     ban_file: BanFile
 
     def apply_configuration(self) -> None:
-        """Gives the settings and classes of ``config`` to the coordinator."""
+        """Passes the settings and classes of ``config`` to the coordinator."""
 
     def apply_bans(self, banned: dict[str, int]) -> None:
-        """Has exactly these endpoints banned: names, each with when it was banned (Unix time, ns)."""
+        """Bans exactly these endpoints: by name, the time of the ban (Unix time, ns)."""
 
 
 class ClusterServices(Protocol):
-    """What replicated state needs of the cluster state."""
+    """What replicated state needs from the cluster state."""
 
     config: ClusterConfig
     history: History
 
     def apply_bans(self, banned: dict[str, int]) -> None:
-        """Has exactly these endpoints banned, here and in this node's ban file."""
+        """Bans exactly these endpoints on this node, and updates its ban file."""
--- a/puffinpost/runtime/readiness.py
+++ b/puffinpost/runtime/readiness.py
@@ -15,7 +15,7 @@
 
 
 class Readiness:
-    """Answers the admin server's readiness check. The node sets ``is_listening`` once it accepts."""
+    """Answers the admin server's readiness check. ``is_listening`` is set once the node accepts clients."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.is_listening = False
 
     def not_ready_reason(self) -> str:
-        """Why the node is not ready, for operators; empty where it is."""
+        """Why the node is not ready, for operators; empty if it is."""
         if self.platform.draining or self.handover.has_successor:
             return "leaving"
         if not self.is_listening:
@@ -41,11 +41,11 @@
         return "" if self.coordinator.endpoints.is_current else "discovery has not told its list yet"
 
     async def wait_for_endpoint_list(self, timeout_s: float) -> None:
-        """Waits until the endpoint list is current, discovery cannot be reached, or the time is over.
+        """Waits until the list is current, discovery cannot be reached, a stop is requested, or it times out.
 
-        Guards against requests to endpoints that began to drain before this process started, or while its
-        predecessor could not reach discovery. Such a change counts as known 6 s after it was made, and the
-        list that a process is started with lacks it.
+        Without the wait, requests could go to endpoints that began to drain before this process started, or
+        while its predecessor could not reach discovery. Such a change counts as known 6 s after it was made,
+        and the list that a process is started with does not have it.
         """
         deadline = time.monotonic() + timeout_s
         while self._should_wait() and time.monotonic() < deadline:
--- a/puffinpost/runtime/replicated_bans.py
+++ b/puffinpost/runtime/replicated_bans.py
@@ -1,6 +1,6 @@
-"""Operators' bans as replicated state: written at one node, and in force at each node where they arrive.
+"""Operators' bans as replicated state: written at one node, and in force at each node that receives them.
 
-`ReplicatedState` owns them where the settings replicate bans; without that they go through consensus.
+`ReplicatedState` owns them if the settings replicate bans; otherwise bans go through consensus.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 REASON_BANNED = "ban"
 REASON_LIFTED = "call back"
-REASON_BANNED_BEFORE = "banned before"  # by a node that had bans before it replicated any
+REASON_BANNED_BEFORE = "banned before"  # a node had the ban before it replicated any state
 
 
 class ReplicatedBans:
-    """Applies the merged bans of all nodes to this one, and writes those that are ordered here."""
+    """Applies the merged bans of all nodes to this one, and writes those that are requested here."""
 
     def __init__(self, node: NodeServices, cluster: ClusterServices, replication: ReplicationDriver) -> None:
         self.node = node
@@ -30,10 +30,10 @@
         self.replication = replication
 
     def apply(self) -> None:
-        """Has the merged bans in force.
+        """Puts the merged bans in force.
 
         Until this incarnation has taken over, bans that were in force at its start stay unless a row says
-        otherwise. Where nothing was ever replicated here, they become this node's own rows at the takeover.
+        otherwise. If nothing was ever replicated here, they become this node's own rows at the takeover.
         """
         merged = self._merged_bans()
         banned = {name: ban.since_ns for name, ban in merged.items() if ban is not None}
@@ -50,7 +50,7 @@
             self._set_banned(banned)
 
     def _merged_bans(self) -> dict[str, Ban | None]:
-        """By endpoint name, the ban that the rows say is in force; None where it was lifted."""
+        """By endpoint name, the ban that is in force according to the rows; None if it was lifted."""
         replicas = self.replication.member.replicas
         return {
             key: merge.effective_ban(replicas.rows_at(kind, key))
@@ -60,14 +60,14 @@
 
     def _set_banned(self, banned: dict[str, int]) -> None:
         for name in sorted(banned.keys() ^ self.node.coordinator.endpoints.banned.keys()):
-            self.cluster.history.note("bans" if name in banned else "lifts", ident=name)
+            self.cluster.history.record("bans" if name in banned else "lifts", ident=name)
         self.cluster.apply_bans(banned)
         log.info("replicated bans changed", banned=",".join(sorted(banned)) or "none")
 
     def request(self, name: str, since_ns: int | None) -> str:
-        """Bans an endpoint, or lifts its ban where ``since_ns`` is None; returns an id for the answer.
+        """Bans an endpoint, or lifts its ban if ``since_ns`` is None; returns an id for the answer.
 
-        In force here at once, and at other nodes as the row arrives there.
+        The change is in force here at once, and at each other node when the row arrives there.
         """
         reason = REASON_BANNED if since_ns else REASON_LIFTED
         ban = Ban(since_ns or 0, self.node.config.name, reason)
--- a/puffinpost/runtime/replicated_state.py
+++ b/puffinpost/runtime/replicated_state.py
@@ -1,6 +1,6 @@
-"""Replicated state of a node: publishes its observations and usage, and gives the balancer the others'.
+"""Publishes a node's observations and usage to other nodes, and passes theirs to its balancer.
 
-`ClusterState` owns it where the settings turn replication on; nothing here is loaded otherwise.
+`ClusterState` owns it if the settings turn replication on; otherwise this module is not imported.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 UPDATE_INTERVAL_S = 0.25
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-USAGE_PUBLICATIONS_PER_STALENESS = 3  # how often usage is published within the time after which it is stale
-BAN_KINDS = frozenset({BAN, INCARNATION})  # a takeover may delete the row of a ban
+USAGE_PUBLICATIONS_PER_STALENESS = 3  # publications of usage within the time after which it is stale
+BAN_KINDS = frozenset({BAN, INCARNATION})  # also incarnations: a takeover may delete rows of bans
 
 
 class ReplicatedState:
-    """The balancer's side of replication. ``replicates_bans``: bans are replicated, not agreed on."""
+    """Connects the node to replication. ``replicates_bans``: bans are replicated, not agreed on."""
 
     def __init__(self, node: NodeServices, cluster: ClusterServices, replication: ReplicationDriver) -> None:
         settings = cluster.config.replica
@@ -50,13 +50,13 @@
         self.staleness_ns = int(settings.stale_s * NS_PER_S)
         self.publisher = Publisher(self.staleness_ns // USAGE_PUBLICATIONS_PER_STALENESS)
         self.attempts: Counter[str] = Counter()  # started by this process, by endpoint name
-        self.gossip: GossipState | None = None  # what the balancer was given last
+        self.gossip: GossipState | None = None  # last passed to the balancer
         self.synthetic_writes = SyntheticWrites(replication)
 
     def start(self) -> None:
-        """Applies what was restored from disk, and begins to publish."""
+        """Applies the state that was restored from disk, and starts to publish."""
         for name in self.node.coordinator.endpoints.banned:
-            self.cluster.history.note("bans", ident=name)
+            self.cluster.history.record("bans", ident=name)
         if self.replicates_bans:
             self.bans.apply()
         self._update()
@@ -64,20 +64,20 @@
             self.synthetic_writes.start()
 
     def attempt_started(self, endpoint: str) -> None:
-        """An attempt of a new request has started at an endpoint."""
+        """Counts an attempt of a new request that has started at an endpoint."""
         self.attempts[endpoint] += 1
 
     def on_rows_changed(self, row_keys: set[RowKey]) -> None:
-        """Rows under these keys have changed."""
+        """Applies the bans if rows that affect them are among those that have changed."""
         if self.replicates_bans and any(kind in BAN_KINDS for kind, _ in row_keys):
             self.bans.apply()
 
     def request_ban(self, name: str, since_ns: int | None) -> str:
-        """An operator bans an endpoint here, or lifts its ban (None); returns an id for the answer."""
+        """Bans an endpoint, or lifts its ban if ``since_ns`` is None; returns an id for the operator."""
         return self.bans.request(name, since_ns)
 
     def _update(self) -> None:
-        """Publishes what has changed here, and passes on what has changed elsewhere; runs at an interval."""
+        """Publishes changes of this node and passes on those of other nodes; runs at an interval."""
         asyncio.get_running_loop().call_later(UPDATE_INTERVAL_S, self._update)
         now_ns = self.replication.now_ns()
         self.replication.member.now_ns = now_ns
@@ -112,7 +112,7 @@
             self.replication.write(TENANT_USAGE, self.replication.member.config.name, usage)
 
     def _merge_gossip(self) -> None:
-        """Gives the balancer the other nodes' observations and usage, where they have changed."""
+        """Passes the other nodes' observations and usage to the balancer, if they have changed."""
         gossip = GossipState(self._gossiped_endpoints(), self._peer_usage())
         if gossip != self.gossip:
             self.gossip = gossip
@@ -132,7 +132,7 @@
         return tuple(gossiped)
 
     def _peer_usage(self) -> tuple[float, ...]:
-        """What the other nodes have in flight, by tenant."""
+        """How much the other nodes have in flight, by tenant."""
         member = self.replication.member
         rows = {
             origin: row
--- a/puffinpost/runtime/session_expiry.py
+++ b/puffinpost/runtime/session_expiry.py
@@ -9,7 +9,7 @@
 from puffinpost.resumption.registry import SessionRegistry
 from puffinpost.units import MS
 
-# Sessions expire in batches at this interval: a thousand connections lost together cost few wake-ups.
+# Sessions expire in batches at this interval: a thousand connections lost at once cause few wake-ups.
 SWEEP_INTERVAL_NS = 100 * MS
 
 
@@ -21,7 +21,7 @@
         self.clock = clock
 
     def start(self) -> None:
-        """Begins to sweep, until the process ends."""
+        """Starts sweeping at an interval; this goes on until the process ends."""
         self._sweep()
 
     def _sweep(self) -> None:
--- a/puffinpost/runtime/shared_endpoint_list.py
+++ b/puffinpost/runtime/shared_endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list that the cluster has agreed on, beside what this node's own discovery watch delivers.
+"""Switches between the endpoint list that the cluster has agreed on and the one of this node's own watch.
 
-Cluster state owns it. While this node holds a lease, the agreed list is in force; without one its own watch
-is. It proposes lists and never accepts one itself.
+`ClusterState` owns it. While this node holds a lease, the agreed list is in force; without a lease, the list
+of its own watch is. It proposes lists, and leaves their acceptance to the consensus member.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from puffinpost.runtime.node_services import NodeServices
 
 LIST_DOCUMENT = merged_documents.ENDPOINT_LIST
-# A voter that does not lead leaves it to the leader for this long to propose what discovery delivered.
+# A voter that is not the leader waits this long before it proposes discovery's list: the leader comes first.
 FOLLOWER_PROPOSAL_DELAY_S = 0.3
 NS_PER_S = 1e9
-CHECKS_PER_AGREEMENT = 4  # how often, in the time in which all agree, this node checks which list holds
+CHECKS_PER_AGREEMENT = 4  # checks of which list is in force, within the time in which all nodes agree
 
 Propose = Callable[[str, Any, str], str]
 
@@ -28,26 +28,26 @@
     """Decides whether this node polls discovery, and which list is in force."""
 
     def __init__(
-        self, node: NodeServices, plan: MemberConfig, cluster: ConsensusDriver, propose: Propose
+        self, node: NodeServices, member_config: MemberConfig, consensus: ConsensusDriver, propose: Propose
     ) -> None:
         self.node = node
-        self.plan = plan
-        self.cluster = cluster
+        self.member_config = member_config
+        self.consensus = consensus
         self._propose = propose
-        self._last_answer: dict[str, Any] = {}  # discovery's, to this node
-        self._was_current = False
+        self._last_answer: dict[str, Any] = {}  # of discovery to this node
+        self._was_in_force = False
 
     def start(self) -> None:
-        """Begins to switch between the agreed list and this node's own watch, as either holds."""
+        """Starts to check at an interval which list is in force, and switches over when that changes."""
         self._check()
 
     def polls_discovery(self) -> bool:
-        """Whether this node polls discovery: voters do for all, and each node for itself without a lease.
+        """Whether this node polls discovery: voters always do, others if the agreed list is not in force.
 
-        Guards against a stale list where the node that polls for all has died or cannot reach discovery: each
-        voter polls, and one that finds something missing in the agreed list proposes it.
+        All voters poll, so that the list does not become stale if one has died or cannot reach discovery:
+        each voter proposes what its own answer has and the agreed list lacks.
         """
-        return self.plan.name in self.plan.voters or not self._is_current()
+        return self.member_config.name in self.member_config.voters or not self._is_in_force()
 
     def index(self) -> int:
         """The index of discovery's last answer to this node; 0 before there is one."""
@@ -55,31 +55,34 @@
         return index if isinstance(index, int) else 0
 
     def on_discovery_answer(self, answer: dict[str, Any]) -> bool:
-        """Takes an answer of discovery; whether the agreed list holds, and not this one."""
+        """Handles an answer of discovery; returns whether the agreed list is in force instead of it."""
         self._last_answer = answer
-        member = self.cluster.member
-        if not self._is_current() and LIST_DOCUMENT in member.active_versions.documents:
-            return False  # without a lease this node's own watch holds
-        leads = member.leader in ("", self.plan.name)
-        delay_s = 0.0 if leads else FOLLOWER_PROPOSAL_DELAY_S
+        member = self.consensus.member
+        if not self._is_in_force() and LIST_DOCUMENT in member.active_versions.documents:
+            return False  # without a lease, the list of this node's own watch is in force
+        proposes_now = member.leader in ("", self.member_config.name)
+        delay_s = 0.0 if proposes_now else FOLLOWER_PROPOSAL_DELAY_S
         asyncio.get_running_loop().call_later(delay_s, self._propose_list, answer)
-        return self._is_current()
+        return self._is_in_force()
 
     def apply(self) -> None:
-        """Puts the agreed list in force, if this node holds a lease."""
-        version = self.cluster.member.active_versions.version(LIST_DOCUMENT)
-        if version is None or not self._is_current():
+        """Applies the agreed list, if this node holds a lease."""
+        version = self.consensus.member.active_versions.version(LIST_DOCUMENT)
+        if version is None or not self._is_in_force():
             return
         coordinator = self.node.coordinator
         coordinator.endpoint_list_received(merged_documents.to_discovery_answer(version.content))
         self.node.health_checker.close_unwanted(coordinator.accepts_new_work)
 
-    def _is_current(self) -> bool:
-        acting = self.cluster.member.active_versions
-        return acting.lease.is_held(self.cluster.clock()) and LIST_DOCUMENT in acting.documents
+    def _is_in_force(self) -> bool:
+        active_versions = self.consensus.member.active_versions
+        return (
+            active_versions.lease.is_held(self.consensus.clock())
+            and LIST_DOCUMENT in active_versions.documents
+        )
 
     def _propose_list(self, answer: dict[str, Any]) -> None:
-        version = self.cluster.member.active_versions.version(LIST_DOCUMENT)
+        version = self.consensus.member.active_versions.version(LIST_DOCUMENT)
         agreed = version.content if version is not None else None
         if merged_documents.change_problem(LIST_DOCUMENT, answer):
             return
@@ -88,12 +91,12 @@
         self._propose(LIST_DOCUMENT, answer, f"discovery's {answer.get('index')}")
 
     def _check(self) -> None:
-        interval_s = self.plan.agree_within_ns / (CHECKS_PER_AGREEMENT * NS_PER_S)
+        interval_s = self.member_config.agree_within_ns / (CHECKS_PER_AGREEMENT * NS_PER_S)
         asyncio.get_running_loop().call_later(interval_s, self._check)
-        is_current = self._is_current()
-        if is_current and not self._was_current:
+        in_force = self._is_in_force()
+        if in_force and not self._was_in_force:
             self.apply()
-        self._was_current = is_current
+        self._was_in_force = in_force
         self._switch_watch()
 
     def _switch_watch(self) -> None:
--- a/puffinpost/runtime/synthetic_writes.py
+++ b/puffinpost/runtime/synthetic_writes.py
@@ -1,6 +1,6 @@
 """Synthetic writes to replicated state, for fault tests and benchmarks that need a steady rate of rows.
 
-Runs only where a test has named a folder for overrides; production nodes do not start it.
+It runs only if a test has set a folder for overrides; production nodes do not start it.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 ROW_KIND = "@load"
 INTERVAL_S = 0.02
 NS_PER_S = 1_000_000_000
-OVERRIDE = "writes"  # two numbers: writes a second, and the number of keys they cycle through
+OVERRIDE = "writes"  # two numbers: writes per second, and the number of keys that they cycle through
 
 
 class SyntheticWrites:
-    """Keeps up the rate that the override asks for, however late the timer fires."""
+    """Writes at the rate that the override sets, also if the timer fires late."""
 
     def __init__(self, replication: ReplicationDriver) -> None:
         self.replication = replication
@@ -26,7 +26,7 @@
         self.updated_at_ns = 0
 
     def start(self) -> None:
-        """Begins with the next interval's writes."""
+        """Starts the timer; the first writes follow after one interval."""
         self.updated_at_ns = self.replication.now_ns()
         self._run()
 
