--- a/puffinpost/balancing/balancer.py
+++ b/puffinpost/balancing/balancer.py
@@ -153,8 +153,8 @@
         state = self.state
         state.actions.append(StartTimer(state.tick_ns, TICK_TOKEN))
         self.health_checks.add_credit(CREDIT_PER_OBJECTIVE * state.tick_ns / state.latency_objective_ns)
-        if self.capacity.survey_due():
-            self.capacity.survey()
+        if self.capacity.fleet_estimate_due():
+            self.capacity.estimate_fleet()
             self.health_checks.check_stale_endpoints()
         if self.poll_schedule.poll_due(state.now_ns):
             state.actions.append(PollEndpointList())
--- a/puffinpost/balancing/capacity.py
+++ b/puffinpost/balancing/capacity.py
@@ -17,8 +17,8 @@
 REPORT_LAG_OBJECTIVES = 3.0  # a report fully covers placements made this long before it: reports come late
 ASSUMED_UTILIZATION = 0.5  # share of the fleet taken to be in use while reports show less
 REPORT_HALF_LIFE_OBJECTIVES = 4.0  # a report's weight in the fleet's mean load halves with this age
-SURVEY_INTERVAL_OBJECTIVES = 0.5  # the fleet changes no faster than reports come
-SURVEY_LOAD_GROWTH = 1.25  # or when the local load has grown by this: it grows fast after a start
+FLEET_ESTIMATE_INTERVAL_OBJECTIVES = 0.5  # the fleet changes no faster than reports come
+FLEET_ESTIMATE_LOAD_GROWTH = 1.25  # or when the local load has grown by this: it grows fast after a start
 CAPACITY_MIN_CONNECTIONS = 4.0  # a report of fewer connections says nothing of the capacity
 CAPACITY_MIN_LOAD = 0.1  # nor one of less load: the rounding in the report would weigh too much
 CAPACITY_SMOOTHING = 0.3  # weight of the newest report in the learned capacity
@@ -27,7 +27,7 @@
 MAX_LOCAL_LOAD_ESTIMATE = 2.0  # greatest load that local accounting alone may show
 SPARE_CAPACITY_LOAD = 0.65  # past this mean load of the fleet there is nowhere better to go
 MAX_REPORTED_VALUE = 1e6  # a figure of a report past this is an error
-SMALLEST_CAPACITY = 1e-9  # avoids division by zero
+MIN_CAPACITY = 1e-9  # avoids division by zero
 
 ReportedLoads: TypeAlias = list[tuple[EndpointState, float]]
 
@@ -41,9 +41,9 @@
         self.mean_load_after_drain = 0.0  # once all endpoints that drain have left
         self.peer_multiplier = float(state.settings.balancer_count)  # fleet's connections per local one
         self.mean_connection_load = 1.0
-        self.known_capacity_count = 0  # endpoints of which the capacity is learned
-        self.next_survey_ns = 0
-        self.surveyed_load = 0.0
+        self.learned_capacity_count = 0  # endpoints of which the capacity is learned
+        self.next_fleet_estimate_ns = 0
+        self.load_at_last_estimate = 0.0
         self.capacity_per_weight = 1.0
         self.connections_per_weight: float | None = None  # at full load
         self.apply_settings()
@@ -80,8 +80,8 @@
         endpoint.reported_load = load
         endpoint.load_reported_ns = self.state.now_ns
         endpoint.rounding_draw = self.state.random.random()
-        covered_ns = self.state.now_ns - self.state.objectives_ns(REPORT_LAG_OBJECTIVES)
-        endpoint.placements = [item for item in endpoint.placements if item.placed_ns > covered_ns]
+        covered_until_ns = self.state.now_ns - self.state.objectives_ns(REPORT_LAG_OBJECTIVES)
+        endpoint.placements = [item for item in endpoint.placements if item.placed_ns > covered_until_ns]
         return True
 
     def _learn_connection_capacity(
@@ -123,7 +123,7 @@
             if endpoint.connection_capacity
             else self.capacity_per_weight * endpoint.weight
         )
-        return max(full * self.warmup_factor(endpoint), SMALLEST_CAPACITY)
+        return max(full * self.warmup_factor(endpoint), MIN_CAPACITY)
 
     def current_load(self, endpoint: EndpointState) -> float:
         """Load over capacity as reported, or as local accounting shows where that is more.
@@ -143,28 +143,28 @@
         unreported = self.unreported_load(endpoint) / self.state.settings.balancer_count
         return self.current_load(endpoint) + unreported / self.capacity_of(endpoint)
 
-    def must_yield(self, tenant: int) -> bool:
+    def is_shed_first(self, tenant: int) -> bool:
         """Whether a tenant's requests yield: capacity is scarce and the tenant is over its quota."""
         return self.mean_load > SCARCE_CAPACITY_LOAD and self.state.is_over_quota(tenant)
 
-    def survey_due(self) -> bool:
+    def fleet_estimate_due(self) -> bool:
         """Whether the fleet has to be surveyed again."""
         return (
-            self.state.now_ns >= self.next_survey_ns
-            or self.accounting.local_load > self.surveyed_load * SURVEY_LOAD_GROWTH
+            self.state.now_ns >= self.next_fleet_estimate_ns
+            or self.accounting.local_load > self.load_at_last_estimate * FLEET_ESTIMATE_LOAD_GROWTH
         )
 
-    def survey(self) -> None:
+    def estimate_fleet(self) -> None:
         """Computes the figures of the whole fleet from the latest report of each endpoint."""
         state = self.state
         endpoints = state.endpoints.values()
-        self.next_survey_ns = state.now_ns + state.objectives_ns(SURVEY_INTERVAL_OBJECTIVES)
-        self.surveyed_load = self.accounting.local_load
+        self.next_fleet_estimate_ns = state.now_ns + state.objectives_ns(FLEET_ESTIMATE_INTERVAL_OBJECTIVES)
+        self.load_at_last_estimate = self.accounting.local_load
         connections = sum(len(endpoint.requests) for endpoint in endpoints)
         self.mean_connection_load = (
             self.accounting.local_load / connections if connections else self.accounting.typical_load()
         )
-        self.known_capacity_count = sum(endpoint.connection_capacity > 0 for endpoint in endpoints)
+        self.learned_capacity_count = sum(endpoint.connection_capacity > 0 for endpoint in endpoints)
         reporting = [it for it in endpoints if it.reported_load is not None and it.id not in state.banned]
         up = [(it, it.reported_load or 0.0) for it in reporting if not it.is_down]
         self._learn_peer_multiplier([endpoint for endpoint, _ in up])
@@ -187,7 +187,7 @@
         used = sum(endpoint.weight * load for endpoint, load in up)
         local_load = max(self.accounting.local_load, self.accounting.typical_load())
         fleet_load = local_load * state.settings.balancer_count
-        return max(fleet_load / max(used, weight * ASSUMED_UTILIZATION, 1e-9), SMALLEST_CAPACITY)
+        return max(fleet_load / max(used, weight * ASSUMED_UTILIZATION, 1e-9), MIN_CAPACITY)
 
     def _estimate_mean_load(self, up: ReportedLoads) -> float:
         """The fleet's mean load by weight; a report counts for less with its age.
--- a/puffinpost/balancing/endpoint_selector.py
+++ b/puffinpost/balancing/endpoint_selector.py
@@ -173,7 +173,7 @@
         """
         if self.capacity.is_warming_up(endpoint):
             return False
-        if 2 * self.capacity.known_capacity_count <= len(self.state.endpoints):
+        if 2 * self.capacity.learned_capacity_count <= len(self.state.endpoints):
             return False
         unreported = len(endpoint.requests) * self.capacity.peer_multiplier - endpoint.reported_connections
         return unreported >= MAX_UNREPORTED_CONNECTIONS
@@ -185,8 +185,8 @@
         is retried and set up again, until set-ups alone fill the fleet.
         """
         state = self.state
-        answering = [it for it in candidates if not it.health_check_pending] or candidates
-        available = [it for it in answering if self.has_capacity(it, request)]
+        preferred = [it for it in candidates if not it.health_check_pending] or candidates
+        available = [it for it in preferred if self.has_capacity(it, request)]
         if not available:
             return None
         if request.group and state.settings.groups_share_work:
--- a/puffinpost/balancing/endpoint_table.py
+++ b/puffinpost/balancing/endpoint_table.py
@@ -95,8 +95,8 @@
         banned_since_ns = state.banned.pop(event.endpoint, None)
         if banned_since_ns is None or endpoint is None:
             return False
-        has_listed_start = endpoint.started_ns > banned_since_ns
-        warming_since_ns = endpoint.started_ns if has_listed_start else state.now_ns
+        has_restarted_since_ban = endpoint.started_ns > banned_since_ns
+        warming_since_ns = endpoint.started_ns if has_restarted_since_ban else state.now_ns
         self.slow_start.on_endpoint_started(endpoint, warming_since_ns, READMISSION_TOKENS)
         state.readmitted.append(event.endpoint)
         return True
--- a/puffinpost/balancing/events.py
+++ b/puffinpost/balancing/events.py
@@ -43,7 +43,9 @@
     SUPERSEDED = 7
 
 
-NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.SUPERSEDED})
+NO_EFFECT_RESULTS = frozenset(
+    {AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.SUPERSEDED}
+)
 """Results which prove that the attempt had no effect."""
 
 
--- a/puffinpost/balancing/learned_state.py
+++ b/puffinpost/balancing/learned_state.py
@@ -1,6 +1,6 @@
 """Snapshots of what a balancer has learned, for the process that replaces it, and gossip of other balancers.
 
-`Balancer` calls it at an upgrade and on gossip. It decides nothing.
+`Balancer` calls it at an upgrade and when gossip arrives. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def restore(capacity: CapacityEstimator, limiter: ConcurrencyLimiter, learned: LearnedState) -> None:
-    """Takes over another balancer's snapshot. Of an endpoint restarted since, only the capacity is valid."""
+    """Restores another balancer's snapshot. For an endpoint restarted since, only the capacity is valid."""
     state, accounting = capacity.state, capacity.accounting
     for endpoint_learned in learned.endpoints:
         endpoint = state.endpoints.get(endpoint_learned.endpoint)
@@ -36,14 +36,14 @@
     capacity.peer_multiplier = learned.peer_multiplier
     limiter.limit = learned.concurrency_limit
     state.readmitted = [it for it in learned.readmitted if it in state.endpoints and it not in state.banned]
-    capacity.next_survey_ns = state.now_ns
+    capacity.next_fleet_estimate_ns = state.now_ns
 
 
 def merge_gossip(capacity: CapacityEstimator, gossip: GossipState) -> None:
-    """Takes what other balancers have learned. What this one has learned itself has precedence.
+    """Merges what other balancers have learned. What this balancer has learned itself takes precedence.
 
-    An endpoint that most others eject is ejected here too, unless something was placed there lately: then its
-    own answer decides.
+    An endpoint that most others eject is ejected here too, unless this balancer has recent placements there,
+    whose results then decide.
     """
     state = capacity.state
     state.tenant_quotas.peer_connections = gossip.tenant_usage
--- a/puffinpost/balancing/load_accounting.py
+++ b/puffinpost/balancing/load_accounting.py
@@ -1,7 +1,7 @@
-"""The load that this balancer has placed: in total, at each endpoint, and by tenant and group.
+"""The load that this balancer has placed: in total, per endpoint, and per tenant and group.
 
-The request lifecycle adds and removes requests, and load reports of clients update them. It never chooses an
-endpoint.
+The request lifecycle adds and removes requests, and load reports of clients update them. This module never
+selects an endpoint.
 """
 
 from __future__ import annotations
@@ -11,30 +11,31 @@
 from puffinpost.balancing.model import EndpointState, PendingRequest
 from puffinpost.balancing.tenant_quotas import TenantQuotas
 
-LOAD_CLAMP_RATIO = 16.0  # greatest over smallest estimate of a load, as the paper's 0.5 to 8 Mbps
-HINTED_LOAD_DECAY = 0.999  # what older hints weigh after each new one, in the running mean
+LOAD_CLAMP_RATIO = 16.0  # largest over smallest estimate of a load, as in the paper's range of 0.5 to 8 Mbps
+HINTED_LOAD_DECAY = 0.999  # factor on the weight of older hints at each new one, in the running mean
 
 
 class LoadAccounting:
-    """Loads of one balancer's requests, in work a second; a load is 1 where no client declares any."""
+    """Loads of one balancer's requests, in work per second; a load is 1 if no client declares any."""
 
     def __init__(self, tenant_quotas: TenantQuotas) -> None:
         self.tenant_quotas = tenant_quotas
-        self.hinted_load_sum = 0.0  # decaying sum and count of the loads that clients declared
+        # Decaying sum and count of the loads that clients declared.
+        self.hinted_load_sum = 0.0
         self.hinted_load_count = 0.0
         self.local_load = 0.0
 
     def record_hinted_load(self, load: float) -> None:
-        """Takes the load that a client declared with its request into the running mean."""
+        """Adds the load that a client declared with its request to the running mean."""
         self.hinted_load_sum = self.hinted_load_sum * HINTED_LOAD_DECAY + load
         self.hinted_load_count = self.hinted_load_count * HINTED_LOAD_DECAY + 1.0
 
     def typical_load(self) -> float:
-        """The mean declared load of a connection; 1 where none was ever declared."""
+        """The mean declared load of a connection; 1 if none was ever declared."""
         return self.hinted_load_sum / self.hinted_load_count if self.hinted_load_count else 1.0
 
     def estimate_load(self, request: PendingRequest, endpoint: EndpointState | None) -> float:
-        """A request's load: as declared, else the endpoint's mean, else the smallest; clamped to a range."""
+        """A request's load: declared, else the endpoint's mean, else the minimum; clamped to a range."""
         smallest = self.typical_load() / math.sqrt(LOAD_CLAMP_RATIO)
         if request.hinted_load is not None:
             load = request.hinted_load
@@ -45,7 +46,7 @@
         return min(max(load, smallest), smallest * LOAD_CLAMP_RATIO)
 
     def add(self, request: PendingRequest, endpoint: EndpointState, now_ns: int) -> None:
-        """An attempt starts at an endpoint, or a connection was adopted there."""
+        """Adds an attempt that starts at an endpoint, or a connection that was adopted there."""
         request.estimated_load = self.estimate_load(request, endpoint)
         request.endpoint = endpoint
         request.placed_ns = now_ns
@@ -57,11 +58,11 @@
             endpoint.group_connections[request.group] = endpoint.group_connections.get(request.group, 0) + 1
 
     def remove(self, request: PendingRequest) -> EndpointState | None:
-        """The attempt or connection has ended. The endpoint that held it; None where it was not accounted."""
+        """Removes an attempt or connection that ended. Returns its endpoint; None if it was not accounted."""
         endpoint = request.endpoint
         if endpoint is None or endpoint.requests.pop(request.request_id, None) is None:
             return None
-        # An endpoint without requests has a load of exactly zero: rounding errors do not accumulate.
+        # An endpoint without requests has a load of exactly zero, so that rounding errors do not accumulate.
         endpoint.local_load = (
             max(0.0, endpoint.local_load - request.estimated_load) if endpoint.requests else 0.0
         )
@@ -72,7 +73,7 @@
         return endpoint
 
     def update(self, request: PendingRequest, load: float) -> None:
-        """The load of an open connection has changed."""
+        """Updates the load of an open connection."""
         endpoint = request.endpoint
         if endpoint is None or request.request_id not in endpoint.requests:
             return
--- a/puffinpost/balancing/migration.py
+++ b/puffinpost/balancing/migration.py
@@ -60,7 +60,7 @@
         """The load that an endpoint has to be brought down to; None: it stays as it is."""
         mean_load = self.capacity.mean_load
         if mean_load > SPARE_CAPACITY_LOAD:
-            return self.state.relieved_load if load > SATURATED_LOAD else None
+            return self.state.recovery_target_load if load > SATURATED_LOAD else None
         if load <= max(OVERLOADED_LOAD, mean_load * OVERLOADED_RATIO):
             return None
         is_settling = self.state.now_ns < endpoint.rebalance_settles_ns
@@ -86,8 +86,8 @@
             self.migrate([request])
 
     def _retained_weight(self, request: PendingRequest) -> float:
-        must_yield = self.capacity.must_yield(request.tenant)
-        quota_weight = self.state.settings.over_quota_weight if must_yield else 1.0
+        is_shed_first = self.capacity.is_shed_first(request.tenant)
+        quota_weight = self.state.settings.over_quota_weight if is_shed_first else 1.0
         return retained_weight(request.request_class, request.estimated_load, quota_weight)
 
     def drain_within(self, endpoint: EndpointState, span_ns: int) -> None:
--- a/puffinpost/balancing/outlier_detection.py
+++ b/puffinpost/balancing/outlier_detection.py
@@ -41,8 +41,8 @@
         """Judges an endpoint by the result of a health check, not by the load report in it."""
         if event.result not in HEALTHY_RESULTS:
             self.on_failure(endpoint)
-        took_dial_timeout = event.elapsed_ns >= self.state.settings.dial_timeout_ns
-        if event.result in UNREACHABLE_RESULTS and took_dial_timeout:
+        reached_dial_timeout = event.elapsed_ns >= self.state.settings.dial_timeout_ns
+        if event.result in UNREACHABLE_RESULTS and reached_dial_timeout:
             endpoint.stall.missed_health_checks += 1
             self._check_stall(endpoint)
         else:
@@ -65,7 +65,7 @@
             it for it in self.state.endpoints.values() if it.zone == endpoint.zone and it is not endpoint
         ]
         zone_stalled = self.state.settings.zone_count > 1 and any(it.stall.is_stalled for it in zone_peers)
-        if not endpoint.stall.should_give_up(zone_stalled):
+        if not endpoint.stall.should_mark_stalled(zone_stalled):
             self.health_checks.check_liveness([endpoint])
         elif not endpoint.stall.is_stalled:
             endpoint.stall.is_stalled = True
@@ -87,5 +87,5 @@
         if state.can_check_health and self.health_checks.can_check(endpoint):
             self.health_checks.start_check(endpoint)
         recovery_ns = state.objectives_ns(REPORT_LAG_OBJECTIVES)
-        fraction = endpoint.latency.excess_fraction(state.relieved_load, recovery_ns)
+        fraction = endpoint.latency.excess_fraction(state.recovery_target_load, recovery_ns)
         self.migration.shed_load(endpoint, fraction)
--- a/puffinpost/balancing/poll_schedule.py
+++ b/puffinpost/balancing/poll_schedule.py
@@ -72,8 +72,8 @@
         may start at one moment; what discovery cannot answer at once waits in its queue.
         """
         if self.is_polled:
-            can_poll_at_once = self.has_local_agent or self.balancer_count <= 1
-            delay_ns = 0 if can_poll_at_once else self.random.randrange(self.span_ns(0) + 1)
+            can_poll_immediately = self.has_local_agent or self.balancer_count <= 1
+            delay_ns = 0 if can_poll_immediately else self.random.randrange(self.span_ns(0) + 1)
             self.next_poll_ns = now_ns + delay_ns
 
     def poll_due(self, now_ns: int) -> bool:
--- a/puffinpost/balancing/request_lifecycle.py
+++ b/puffinpost/balancing/request_lifecycle.py
@@ -10,7 +10,7 @@
 from puffinpost.balancing.concurrency_limiter import ConcurrencyLimiter
 from puffinpost.balancing.endpoint_selector import EndpointSelector
 from puffinpost.balancing.events import (
-    NEVER_RAN,
+    NO_EFFECT_RESULTS,
     AttemptEnded,
     AttemptEstablished,
     AttemptResult,
@@ -33,7 +33,7 @@
 ATTEMPT_TIMEOUT_OBJECTIVES = 1.0  # latency objectives of a first attempt's timeout, where it may be retried
 OVERLOAD_RESULTS = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.REJECTED)
 # Results after which another endpoint is tried without backoff, for as long as candidates are left.
-UNSENT_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.SUPERSEDED)
+IMMEDIATE_RETRY_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.SUPERSEDED)
 
 
 class RequestLifecycle:
@@ -57,7 +57,7 @@
     def on_request(self, event: RequestReceived) -> None:
         """A client requests a connection."""
         state = self.state
-        if self._is_known_or_invalid(event):
+        if self._is_duplicate_or_invalid(event):
             return
         request = PendingRequest(event, state.settings.classes[event.request_class])
         state.requests[event.request] = request
@@ -72,7 +72,7 @@
     def on_connection_adopted(self, event: ConnectionAdopted) -> None:
         """A connection was open before this balancer started."""
         state, received = self.state, event.request
-        if self._is_known_or_invalid(received):
+        if self._is_duplicate_or_invalid(received):
             return
         endpoint = state.endpoints.get(event.endpoint)
         request = PendingRequest(received, state.settings.classes[received.request_class])
@@ -83,7 +83,7 @@
         if endpoint is not None:
             self.accounting.add(request, endpoint, state.now_ns)
 
-    def _is_known_or_invalid(self, event: RequestReceived) -> bool:
+    def _is_duplicate_or_invalid(self, event: RequestReceived) -> bool:
         return event.request in self.state.requests or event.request_class >= len(self.state.settings.classes)
 
     def _place(self, request: PendingRequest) -> None:
@@ -101,8 +101,8 @@
         if not request.candidates_checked and self.health_checks.check_candidates(request, candidates):
             return
         endpoint = self.endpoint_selector.choose(request, candidates)
-        if endpoint is None and self.capacity.must_yield(request.tenant):
-            self._answer_finally(request)
+        if endpoint is None and self.capacity.is_shed_first(request.tenant):
+            self._send_final_answer(request)
             return
         request.candidates_checked = False
         if endpoint is None:
@@ -182,7 +182,7 @@
             return
         if not request.is_established:
             self._on_setup_ended(request, event.result)
-        if event.result not in NEVER_RAN and request.first_uncertain_endpoint is None:
+        if event.result not in NO_EFFECT_RESULTS and request.first_uncertain_endpoint is None:
             request.first_uncertain_endpoint = request.endpoint
             request.first_uncertain_attempt_ns = request.placed_ns
         self.state.remove_request(request)
@@ -190,8 +190,8 @@
         if event.request_finished or request.is_finished:
             self._forget(request)
         elif not self._can_retry(request):
-            self._answer_finally(request)
-        elif event.result not in UNSENT_RESULTS and request.attempts > 1:
+            self._send_final_answer(request)
+        elif event.result not in IMMEDIATE_RETRY_RESULTS and request.attempts > 1:
             self._back_off(request)
             self.queue[request.request_id] = request
         else:
@@ -207,9 +207,9 @@
         if result in OVERLOAD_RESULTS:
             self.concurrency_limiter.on_failure()
         endpoint = request.endpoint
-        if endpoint is not None and result in NEVER_RAN:
-            undone = Placement(request.placed_ns, request.estimated_load)
-            endpoint.placements = [item for item in endpoint.placements if item != undone]
+        if endpoint is not None and result in NO_EFFECT_RESULTS:
+            unused_placement = Placement(request.placed_ns, request.estimated_load)
+            endpoint.placements = [item for item in endpoint.placements if item != unused_placement]
 
     def _can_retry(self, request: PendingRequest) -> bool:
         """Whether attempts and time are left, and the class allows another attempt."""
@@ -218,8 +218,8 @@
             return False
         if state.now_ns + state.tick_ns >= request.deadline_ns:
             return False
-        may_have_run = request.first_uncertain_endpoint is not None
-        return not (may_have_run and request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT)
+        has_uncertain_attempt = request.first_uncertain_endpoint is not None
+        return not (has_uncertain_attempt and request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT)
 
     def on_health_check(self, event: HealthCheckCompleted) -> None:
         """A health check ended, with an answer or without; places the requests that waited for it."""
@@ -253,9 +253,9 @@
         if request.is_in_flight and state.now_ns < request.deadline_ns:
             state.actions.append(StartTimer(request.deadline_ns - state.now_ns, request_id + 1))
         else:
-            self._answer_finally(request)
+            self._send_final_answer(request)
 
-    def _answer_finally(self, request: PendingRequest) -> None:
+    def _send_final_answer(self, request: PendingRequest) -> None:
         """Gives a request without a connection its final answer: rejected if a retry is safe, else failed."""
         if request.is_finished:
             return
--- a/puffinpost/balancing/stall_detector.py
+++ b/puffinpost/balancing/stall_detector.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-STALL_SIGNS = 2
+MIN_STALL_SIGNS = 2
 
 
 class StallDetector:
@@ -26,11 +26,11 @@
         self.missed_health_checks = 0
         self.is_stalled = False
 
-    def should_give_up(self, zone_stalled: bool) -> bool:
+    def should_mark_stalled(self, zone_stalled: bool) -> bool:
         """Whether the signs are enough, now that a health check was missed or a response is overdue.
 
         ``zone_stalled``: another endpoint of its zone has stalled and not answered since. A missed health
         check is needed in any case: only the endpoint itself can refute what its zone's loss suggests.
         """
         signs = self.missed_health_checks + self.response_overdue + zone_stalled
-        return self.missed_health_checks > 0 and signs >= STALL_SIGNS
+        return self.missed_health_checks > 0 and signs >= MIN_STALL_SIGNS
--- a/puffinpost/balancing/state.py
+++ b/puffinpost/balancing/state.py
@@ -16,8 +16,12 @@
 
 FULL_LOAD = 0.9  # no connection is placed on an endpoint past this predicted load: it would serve none
 FULL_LOAD_SHARED_GROUPS = 0.8  # ... where a group's work is done once per endpoint: there is no rebalancing
-RELIEVED_LOAD = 0.7  # load that an overloaded endpoint is brought down to, so that its backlog is worked off
-RELIEVED_LOAD_SHARED_GROUPS = 0.85  # ... where a group's work is done anew wherever a connection moves to
+RECOVERY_TARGET_LOAD = (
+    0.7  # load that an overloaded endpoint is brought down to, so that its backlog is worked off
+)
+RECOVERY_TARGET_LOAD_SHARED_GROUPS = (
+    0.85  # ... where a group's work is done anew wherever a connection moves to
+)
 TICKS_PER_OBJECTIVE = 20  # ticks in the shortest latency objective: fine enough for no client to notice
 
 
@@ -42,7 +46,9 @@
         self.settings = settings
         self.latency_objective_ns = min(item.latency_objective_ns for item in settings.classes)
         self.full_load = FULL_LOAD_SHARED_GROUPS if settings.groups_share_work else FULL_LOAD
-        self.relieved_load = RELIEVED_LOAD_SHARED_GROUPS if settings.groups_share_work else RELIEVED_LOAD
+        self.recovery_target_load = (
+            RECOVERY_TARGET_LOAD_SHARED_GROUPS if settings.groups_share_work else RECOVERY_TARGET_LOAD
+        )
         self.drain_window_ns = drain_window_ns([item.deadline_ns for item in settings.classes])
         self.message_latency_objective_ns = min(
             (
--- a/puffinpost/balancing/tenant_quotas.py
+++ b/puffinpost/balancing/tenant_quotas.py
@@ -56,11 +56,11 @@
     fills the fleet: of the endpoints without it only the first of this zone and the first elsewhere count.
     All nodes draw the same order.
     """
-    picked: list[int] = []
-    zones_taken: set[bool] = set()
+    positions: list[int] = []
+    zones_without_group: set[bool] = set()
     for position, (has_group, in_zone) in enumerate(endpoints):
-        if has_group or in_zone not in zones_taken:
-            picked.append(position)
+        if has_group or in_zone not in zones_without_group:
+            positions.append(position)
         if not has_group:
-            zones_taken.add(in_zone)
-    return picked
+            zones_without_group.add(in_zone)
+    return positions
--- a/puffinpost/balancing/token_bucket.py
+++ b/puffinpost/balancing/token_bucket.py
@@ -24,5 +24,5 @@
     fraction = total % 1.0
     # The newest whole token was earned ``fraction / rate`` ago.
     unexpired = rate * lifetime_ns - fraction
-    max_whole = math.floor(unexpired) + 1 if unexpired >= 0 else 0
-    return fraction + min(math.floor(total), max_whole)
+    max_unexpired_tokens = math.floor(unexpired) + 1 if unexpired >= 0 else 0
+    return fraction + min(math.floor(total), max_unexpired_tokens)
--- a/puffinpost/proxy/attempts.py
+++ b/puffinpost/proxy/attempts.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from puffinpost.balancing.events import (
-    NEVER_RAN,
+    NO_EFFECT_RESULTS,
     AttemptEnded,
     AttemptEstablished,
     AttemptResult,
@@ -109,7 +109,7 @@
         self.stop_timers(attempt)
         attempt.completed = True
         exchange.attempt = None
-        if result not in NEVER_RAN and exchange.first_uncertain_attempt_ns is None:
+        if result not in NO_EFFECT_RESULTS and exchange.first_uncertain_attempt_ns is None:
             exchange.first_uncertain_attempt_ns = attempt.started_ns
         self.context.counters.add(attempt_counter(result))
         if exchange.established:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -180,7 +180,7 @@
     world.now += 4 * S  # long enough for a fresh report to cover them; this one does not
     world.report(1, 0.5, 10.0)
     server = world.balancer.state.endpoints[1]
-    world.balancer.capacity.survey()
+    world.balancer.capacity.estimate_fleet()
     assert server.placements == []
     assert world.balancer.capacity.current_load(server) == 7 * 2 / 20  # as many again are the other's
     world.report(1, 0.8, 16.0)
@@ -196,7 +196,7 @@
     world = Driver(PLAIN, line(1), line(2), line(3, started_ns=started_ns))
     for number, held in ((1, 20.0), (2, 20.0), (3, 0.0)):
         world.report(number, 0.4, held)
-    world.balancer.capacity.survey()
+    world.balancer.capacity.estimate_fleet()
     server = world.balancer.state.endpoints[3]
     rooms = []
     for number in range(16):
