--- a/puffinpost/balancing/actions.py
+++ b/puffinpost/balancing/actions.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected; a retry is safe. ``retry_after_ns`` 0: at any time."""
+    """Final answer: rejected; a retry is safe, at any time if ``retry_after_ns`` is 0."""
 
     request: RequestId
     retry_after_ns: int = 0
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Start a timer that ends in a `TimerFired` with its token."""
+    """Start a timer that delivers a `TimerFired` event with this token."""
 
     after_ns: int
     token: int
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check an endpoint's health and get its load report."""
+    """Check an endpoint's health and fetch its load report."""
 
     endpoint: EndpointId
 
 
 @dataclass(frozen=True, slots=True)
 class Migrate:
-    """Close a client's open connection politely; the client connects again."""
+    """Close a client's open connection gracefully; the client reconnects."""
 
     request: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Poll discovery for the endpoint list and watch its changes."""
+    """Poll discovery for the endpoint list and watch it for changes."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/puffinpost/balancing/balancer.py
+++ b/puffinpost/balancing/balancer.py
@@ -1,8 +1,8 @@
 """The balancer: passes each event to the policies that it concerns and returns their actions.
 
-`events`, `actions` and `settings` hold every type that goes in and out. Time is the clock given to `handle`,
-randomness is the seeded generator, and nothing depends on the order of a hash table: dicts keep the order of
-insertion, and sets are never iterated.
+`events`, `actions` and `settings` define all input and output types. Decisions are deterministic: the time is
+passed to `handle`, random numbers come from a seeded generator, and nothing depends on hash order, because
+dicts keep insertion order and sets are never iterated.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 from puffinpost.balancing.slow_start import SlowStart
 from puffinpost.balancing.state import BalancerState
 
-TICK_TOKEN = 0  # timer tokens above it are a request's id plus one
+TICK_TOKEN = 0  # a timer token above 0 is a request's id plus one
 
 
 class Balancer:
-    """Decides for one balancer. `handle` takes one event and returns the actions that answer it."""
+    """The decisions of one balancer. `handle` takes one event and returns the resulting actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.state = BalancerState(settings, seed)
@@ -65,7 +65,7 @@
         self.is_started = False
 
     def handle(self, event: Event, now_ns: int) -> list[Action]:
-        """The actions that answer an event. Events for what is unknown or has ended change nothing."""
+        """The actions for an event. Events about unknown or ended requests or endpoints change nothing."""
         state = self.state
         state.now_ns = max(state.now_ns, now_ns)
         state.actions = []
@@ -110,15 +110,15 @@
                 merge_gossip(self.capacity, event)
 
     def excluded_count(self) -> int:
-        """How many of the listed endpoints get nothing new now."""
+        """The number of listed endpoints that currently get no new requests."""
         return self.endpoint_table.excluded_count()
 
     def learned_state(self) -> LearnedState:
-        """What this balancer has learned, for the one that replaces it."""
+        """What this balancer has learned, for its successor."""
         return snapshot(self.capacity, self.concurrency_limiter)
 
     def _start(self) -> None:
-        """With the first event: starts the tick and schedules the first poll."""
+        """Starts the periodic tick and schedules the first poll, at the first event."""
         self.is_started = True
         self.state.actions.append(StartTimer(self.state.tick_ns, TICK_TOKEN))
         self.poll_schedule.start(self.state.now_ns)
--- a/puffinpost/balancing/events.py
+++ b/puffinpost/balancing/events.py
@@ -1,7 +1,7 @@
 """The events that a balancer handles, one type each.
 
 `Balancer.handle` takes one event at a time with the caller's clock. All times are integer nanoseconds of that
-clock; a span is named ``..._ns`` too. Loads are work per second, in nanoseconds of a standard core.
+clock; names of durations end in ``_ns`` too. Loads are work per second, in nanoseconds of a standard core.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ListUpdateKind(IntEnum):
-    """Where an endpoint list came from, and whether it is a delta."""
+    """The source of an endpoint list, and whether it is a delta."""
 
     FAILED = 0
     DELTA = 1
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """An endpoint list was received, or a poll for it failed."""
+    """An endpoint list was received, or polling for it failed."""
 
     kind: ListUpdateKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointBanChanged:
-    """Operators ban an endpoint from new connections, or (``banned`` is false) lift the ban."""
+    """An operator banned an endpoint from new connections or, if ``banned`` is false, lifted the ban."""
 
     endpoint: EndpointId
     banned: bool
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedEndpointState:
-    """What a balancer has learned of one endpoint. Times in ns."""
+    """What a balancer has learned about one endpoint. Times in ns."""
 
     endpoint: EndpointId
     load: float | None
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What a balancer has learned, for the one that replaces it. Loads are work a second."""
+    """What a balancer has learned, for its successor. Loads are work per second."""
 
     endpoints: tuple[LearnedEndpointState, ...] = ()
     hinted_load_sum: float = 0.0
@@ -111,9 +111,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipedEndpoint:
-    """What other balancers learned of an endpoint.
+    """What other balancers have learned about an endpoint.
 
-    A ``connection_capacity`` of 0: not known; ``ejected_for_ns``: how long most of them still eject it.
+    A ``connection_capacity`` of 0 means unknown; ``ejected_for_ns`` is how long most of them still eject it.
     """
 
     endpoint: EndpointId
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipState:
-    """What other balancers learned. ``tenant_usage``: their connections by tenant; empty: not known."""
+    """What other balancers have learned. ``tenant_usage``: their connections by tenant; empty if unknown."""
 
     endpoints: tuple[GossipedEndpoint, ...] = ()
     tenant_usage: tuple[float, ...] = ()
@@ -131,14 +131,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings apply. A class that existed before keeps its index."""
+    """New settings take effect. A class that existed before keeps its index."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client requests a connection. ``load``: as declared by the client; None: not declared."""
+    """A client requests a connection. ``load``: declared by the client; None if not declared."""
 
     request: RequestId
     request_class: int
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionAdopted:
-    """A connection was open in the process that this balancer replaces."""
+    """A connection that was open in the process that this balancer replaces was taken over."""
 
     request: RequestReceived
     endpoint: EndpointId
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt or its connection has ended. ``request_finished``: so has the request."""
+    """An attempt or its connection has ended. ``request_finished``: whether the request has ended too."""
 
     request: RequestId
     attempt: int
@@ -185,14 +185,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client disconnected; its request gets no answer any more."""
+    """The client disconnected; its request gets no final answer."""
 
     request: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that this balancer started is due."""
+    """A timer that this balancer started has expired."""
 
     token: int
 
@@ -217,7 +217,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayReported:
-    """Messages at an endpoint take this long now, as measured on one connection."""
+    """The current delay of messages at an endpoint, measured on one connection."""
 
     request: RequestId
     endpoint: EndpointId
@@ -226,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseOverdue:
-    """A response is overdue by this on an open connection. Responses are immediate otherwise."""
+    """A response on an open connection is overdue by ``overdue_ns``; responses are normally immediate."""
 
     request: RequestId
     endpoint: EndpointId
@@ -243,7 +243,7 @@
     | HealthCheckCompleted
     | LoadReported
 )
-"""The events of requests and their attempts, and those that placements wait for."""
+"""Events of requests and their attempts, and events that placements wait for."""
 
 FleetEvent: TypeAlias = (
     EndpointListUpdate
@@ -254,6 +254,6 @@
     | DelayReported
     | ResponseOverdue
 )
-"""The events of the endpoints, the other balancers and the operators."""
+"""Events of endpoints, other balancers and operators."""
 
 Event: TypeAlias = RequestEvent | FleetEvent
--- a/puffinpost/balancing/model.py
+++ b/puffinpost/balancing/model.py
@@ -1,4 +1,4 @@
-"""What is known of one endpoint and of one request: state that the policies in this package change."""
+"""The state of one endpoint and of one request, which the policies in this package modify."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def hash64(value: int) -> int:
-    """A 64-bit hash of an id or key, the same at every balancer."""
+    """A 64-bit hash of an id or key, identical on every balancer."""
     value = (value * 0x9E3779B97F4A7C15 + 0x632BE59BD9B4E019) & UINT64_MASK
     value = ((value ^ value >> 31) * 0xBF58476D1CE4E5B9) & UINT64_MASK
     value = ((value ^ value >> 27) * 0x94D049BB133111EB) & UINT64_MASK
@@ -21,14 +21,14 @@
 
 
 class Placement(NamedTuple):
-    """An attempt that was sent to an endpoint, and the load that it was predicted to add."""
+    """The time of an attempt at an endpoint, and the load that it was predicted to add."""
 
     placed_ns: int
     load: float
 
 
 class EndpointState:
-    """What this balancer knows of one endpoint. Times in ns; a reported load is load over capacity."""
+    """What this balancer knows about one endpoint. Times in ns; a reported load is load over capacity."""
 
     __slots__ = (
         "admission_tokens",
@@ -68,23 +68,25 @@
     def __init__(self, entry: EndpointEntry) -> None:
         self.id = entry.endpoint
         self.id_hash = hash64(entry.endpoint)
-        self.started_ns = 0  # as the endpoint list has it
+        self.started_ns = 0  # from the endpoint list
         self.apply_entry(entry)
         self.warming_since_ns = 0  # 0: not warming up
         self.is_listed = True
-        self.is_down = False  # draining, or no longer on the list
+        self.is_down = False  # draining, or no longer on the endpoint list
         self.reported_load: float | None = None  # load over capacity
         self.load_reported_ns = 0
         self.reported_connections = 0.0
-        self.connection_capacity = 0.0  # connections at full load, learned from reports; 0: not known
+        self.connection_capacity = 0.0  # connections at full load, learned from reports; 0: unknown
         self.latency = LatencyTracker()
         self.stall = StallDetector()
-        self.rounding_draw = 0.5  # drawn at each report: rounds this balancer's share of spare capacity
-        self.drain_by_ns = 0  # when its connections have to be migrated, once it drains or is banned
-        self.next_rebalance_ns = 0  # no rebalancing before this
-        self.rebalance_settles_ns = 0  # nor before this, while its load is about as high as ...
-        self.rebalanced_load = 0.0  # ... the load that the last rebalancing answered
-        self.placements: list[Placement] = []  # those that its last report does not cover
+        # Random number in 0 to 1, drawn at each report; rounds this balancer's share of spare capacity.
+        self.rounding_draw = 0.5
+        self.drain_by_ns = 0  # deadline for migrating its connections while it is draining or banned
+        self.next_rebalance_ns = 0  # no rebalancing before this time
+        # No rebalancing before this time either, while the load is about as high as `rebalanced_load`.
+        self.rebalance_settles_ns = 0
+        self.rebalanced_load = 0.0  # reported load at the last rebalancing
+        self.placements: list[Placement] = []  # not covered by its last report
         self.waiting_requests: list[PendingRequest] = []  # queued until its health check completes
         self.requests: dict[RequestId, PendingRequest] = {}  # attempts in flight and open connections
         self.local_load = 0.0  # estimated load of `requests`
@@ -97,14 +99,14 @@
         self.tokens_updated_ns = 0
 
     def apply_entry(self, entry: EndpointEntry) -> None:
-        """Takes the endpoint's place and size from the endpoint list."""
+        """Copies zone, endpoint type, cell and weight from an entry of the endpoint list."""
         self.zone = entry.zone
         self.endpoint_type = entry.endpoint_type
         self.cell = entry.cell
         self.weight = entry.weight
 
     def established_requests(self) -> list[PendingRequest]:
-        """The open connections that are not being migrated."""
+        """The open connections that are not being migrated and whose clients are still connected."""
         return [
             request
             for request in self.requests.values()
@@ -113,7 +115,7 @@
 
 
 class PendingRequest:
-    """One request, from its arrival until its last attempt or its connection has ended. Times in ns."""
+    """One request, from its arrival to the end of its last attempt or connection. Times in ns."""
 
     __slots__ = (
         "attempted_endpoints",
@@ -150,13 +152,13 @@
         self.tenant = event.tenant
         self.key = event.key
         self.group = event.group
-        self.hinted_load = float(event.load) if event.load else None  # as the client declared it
-        self.estimated_load = 0.0  # as accounted for at its endpoint
-        self.zone_endpoints: list[EndpointState] = []  # of this zone, in the order drawn for this request
-        self.remote_endpoints: list[EndpointState] = []  # of other zones, in the same order
-        self.endpoint_order_version = -1  # of the endpoint list that the order was drawn from
+        self.hinted_load = float(event.load) if event.load else None  # declared by the client
+        self.estimated_load = 0.0  # accounted for at its endpoint
+        self.zone_endpoints: list[EndpointState] = []  # in this zone, in the order drawn for this request
+        self.remote_endpoints: list[EndpointState] = []  # in other zones, in the same order
+        self.endpoint_order_version = -1  # version of the endpoint list that the order was drawn from
         self.backoff_count = 0
-        self.rejected_samples = 0  # rounds of candidates that had no capacity
+        self.rejected_samples = 0  # samples of candidates without capacity
         self.candidates_checked = False
         self.pending_health_checks = 0  # health checks of candidates that the placement waits for
         self.backoff_until_ns = 0
@@ -167,12 +169,12 @@
         self.endpoint: EndpointState | None = None
         self.placed_ns = 0
         self.attempted_endpoints: list[EndpointId] = []
-        # The first attempt that may have had an effect.
+        # The endpoint and start of the first attempt that may have had an effect.
         self.first_uncertain_endpoint: EndpointState | None = None
         self.first_uncertain_attempt_ns = 0
 
     def is_safe_to_retry(self) -> bool:
-        """Whether it does no harm if the client sends the request again, to any balancer."""
+        """Whether the client can safely retry the request through any balancer."""
         request_class = self.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
--- a/puffinpost/balancing/settings.py
+++ b/puffinpost/balancing/settings.py
@@ -1,8 +1,8 @@
 """The settings of a balancer, and the identifiers that events and actions share.
 
 Times are integer nanoseconds. Loads are work per second, in nanoseconds of a standard core. The adapters
-(`simulator.settings_text`, `config.node`) make these from the platform's settings, whose keys no other
-module knows.
+(`simulator.settings_text`, `config.node`) create them from the platform's settings; no other module knows the
+platform's keys.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class InvalidSettingsError(PuffinpostError, ValueError):
-    """A setting is missing, unreadable or out of its range. ``key``: its path, or its field here."""
+    """A setting is missing, unreadable or out of range. ``key``: its path or its field in `Settings`."""
 
     def __init__(self, key: str, message: str) -> None:
         super().__init__(message)
@@ -43,7 +43,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a class may run twice."""
+    """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -51,7 +51,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Among which endpoints a keyed request is deduplicated."""
+    """The set of endpoints among which a keyed request is deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests. Times in ns; a message latency objective of 0: none."""
+    """One class of requests. Times in ns; a message latency objective of 0 means none."""
 
     latency_objective_ns: int
     deadline_ns: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and its quotas across all balancers; a quota of 0: no limit."""
+    """One tenant and its quotas across all balancers; a quota of 0 means no limit."""
 
     quota_share: float
     quota_connections: float = 0.0
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one balancer. ``InvalidSettingsError`` names the field that is out of its range."""
+    """The settings of one balancer. Raises ``InvalidSettingsError`` with the field that is out of range."""
 
     balancer_index: int
     balancer_count: int
