--- a/puffinpost/balancing/endpoint_selector.py
+++ b/puffinpost/balancing/endpoint_selector.py
@@ -1,8 +1,9 @@
-"""Selects the endpoint of a connection: the best score of a few candidates, drawn alike at every balancer.
+"""Selects the endpoint of a connection: the best score of a few candidates that every balancer draws alike.
 
-After Algorithm 2 of J. Vietor, "A streaming media-specific load balancing algorithm" (2016): free CPU, free
-RAM and free bandwidth, up to 1000 points each, less the predicted load of placements that no report covers
-yet, plus a bonus where this balancer has connections of the same group. docs/design.md says what differs.
+Based on Algorithm 2 of J. Vietor, "A streaming media-specific load balancing algorithm" (2016): free CPU,
+free RAM and free bandwidth, up to 1000 points each, minus the predicted load of placements that no report
+covers yet, plus a bonus where this balancer has connections of the same group. docs/design.md lists the
+differences.
 """
 
 from __future__ import annotations
@@ -15,23 +16,24 @@
 
 POINTS_PER_RESOURCE = 1000.0  # for one resource that is entirely free, as in the paper
 GROUP_BONUS = 200.0  # as in the paper: a fifth of one resource
-# Where a group's work is done once per endpoint, one with capacity that has the group beats any other.
+# Where a group's work is done once per endpoint, one with capacity that has the group outscores any other.
 SHARED_GROUP_BONUS = 3 * POINTS_PER_RESOURCE
-ZONE_CROSSING_POINTS = 10000.0  # less for another zone, times the cost: 0.03 is a tenth of the load
-CANDIDATES_PER_ZONE = 4  # candidates of the own zone, and as many of the others
-MAX_UNREPORTED_CONNECTIONS = 12.0  # more than was reported, at an endpoint of unknown capacity
-ORDER_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio: spreads the order of endpoints
+# Subtracted for another zone, times the zone crossing cost: a cost of 0.03 equals a tenth of the load.
+ZONE_CROSSING_POINTS = 10000.0
+CANDIDATES_PER_ZONE = 4  # candidates in this balancer's zone, and as many in all other zones together
+MAX_UNREPORTED_CONNECTIONS = 12.0  # connections beyond the reported ones, at an endpoint of unknown capacity
+ORDER_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio: spreads the order of endpoints
 
 
 class EndpointSelector:
-    """Draws a request's candidates and selects the best of them."""
+    """Draws a request's candidates and selects the best one."""
 
     def __init__(self, capacity: CapacityEstimator, slow_start: SlowStart) -> None:
         self.state, self.capacity, self.slow_start = capacity.state, capacity, slow_start
         self.accounting = capacity.state.accounting
 
     def score(self, endpoint: EndpointState, request: PendingRequest) -> float:
-        """The paper's points for one endpoint, less the cost of crossing zones."""
+        """The paper's points for one endpoint, minus the cost of crossing zones."""
         capacity, settings = self.capacity.capacity_of(endpoint), self.state.settings
         if endpoint.reported_load is None:
             free = POINTS_PER_RESOURCE
@@ -51,10 +53,10 @@
         return score
 
     def _order_endpoints(self, request: PendingRequest) -> None:
-        """Orders the endpoints for a request, by the hash of its group or key with the endpoint's id.
+        """Orders the endpoints for a request, by a hash of its group or key combined with the endpoint's id.
 
-        Guards against herds, against the cost of ranking a large fleet for each request, and against lost
-        handovers: every balancer draws the same order for the same key.
+        This prevents a thundering herd, avoids the cost of ranking a large fleet for each request, and makes
+        every balancer draw the same order for the same key, so that handovers are not lost.
         """
         key_hash = hash64(request.group or request.key or request.request_id)
         endpoints = sorted(
@@ -67,7 +69,7 @@
         request.endpoint_order_version = self.state.list_version
 
     def sample(self, request: PendingRequest) -> list[EndpointState]:
-        """The candidates of a placement: the next few of this zone and the next few elsewhere."""
+        """The candidates of a placement: the next few in this zone and the next few in other zones."""
         if request.endpoint_order_version != self.state.list_version:
             self._order_endpoints(request)
         is_first_sample = request.rejected_samples == 0
@@ -88,9 +90,9 @@
     def _next_candidates(
         self, request: PendingRequest, endpoints: list[EndpointState]
     ) -> list[EndpointState]:
-        """The next few of an order, after those of earlier samples, and all that are warming up.
+        """The next few endpoints in an order after those of earlier samples, and all that are warming up.
 
-        A warming endpoint's tokens expire, so the balancer that has one uses it.
+        The tokens of an endpoint that is warming up expire, so a balancer that has one uses it.
         """
         now_ns = self.state.now_ns
         candidates = []
@@ -106,7 +108,7 @@
         return candidates
 
     def _fallback_candidates(self, request: PendingRequest) -> list[EndpointState]:
-        """Where all are ejected or were attempted: any of these is better than none."""
+        """Candidates when all endpoints are ejected or were attempted: any of them is better than none."""
         endpoints = request.zone_endpoints + request.remote_endpoints
         return [
             endpoint
@@ -117,7 +119,7 @@
     def _readmitted_candidates(
         self, request: PendingRequest, candidates: list[EndpointState]
     ) -> list[EndpointState]:
-        """The endpoints that are no longer banned and not used again yet, besides those drawn."""
+        """The endpoints that were readmitted after a ban and not used since, except those already drawn."""
         return [
             endpoint
             for endpoint in request.zone_endpoints + request.remote_endpoints
@@ -129,7 +131,7 @@
         ]
 
     def _group_candidates(self, request: PendingRequest) -> list[EndpointState]:
-        """All candidates where a group's work is done once per endpoint: those with the group first."""
+        """All candidates where a group's work is done once per endpoint; endpoints with the group first."""
         candidates: list[EndpointState] = []
         for endpoints in (request.zone_endpoints, request.remote_endpoints):
             allowed = [
@@ -147,8 +149,9 @@
     def has_capacity(self, endpoint: EndpointState, request: PendingRequest) -> bool:
         """Whether an endpoint can take one more connection without being full.
 
-        Where the fleet is nearly full, every balancer has clients queued, and all at once would fill what
-        reports a little spare capacity: then each takes its own share of that only, rounded at random.
+        If the fleet is nearly full, every balancer has queued clients, and together they would fill an
+        endpoint as soon as it reports a little spare capacity. So each balancer then uses only its own share
+        of the spare capacity, rounded at random.
         """
         capacity, state = self.capacity, self.state
         if endpoint.latency.exceeds(request.request_class.message_latency_objective_ns, state.now_ns):
@@ -166,10 +169,10 @@
         return capacity.current_load(endpoint) + unreported / capacity.capacity_of(endpoint) < state.full_load
 
     def _is_unproven(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint of unknown capacity has enough connections that no report covers.
+        """Whether an endpoint of unknown capacity has as many connections as allowed that no report covers.
 
-        Guards against an endpoint far slower than its weight says, once most others have shown what they can
-        do. One that is warming up is limited by its tokens.
+        Limits an endpoint that may be far slower than its weight indicates, once the capacity of most others
+        is known. An endpoint that is warming up is limited by its tokens instead.
         """
         if self.capacity.is_warming_up(endpoint):
             return False
@@ -179,10 +182,10 @@
         return unreported >= MAX_UNREPORTED_CONNECTIONS
 
     def choose(self, request: PendingRequest, candidates: list[EndpointState]) -> EndpointState | None:
-        """The best candidate; one whose health check is pending only if no other is left.
+        """The best candidate with capacity; one with a pending health check only if all have one.
 
-        Guards against congestion collapse: a full endpoint serves nothing of what is added, and what it drops
-        is retried and set up again, until set-ups alone fill the fleet.
+        Full endpoints are left out to prevent congestion collapse: a full endpoint serves none of the added
+        connections, and those that it drops are retried and set up again, until set-up alone fills the fleet.
         """
         state = self.state
         preferred = [it for it in candidates if not it.health_check_pending] or candidates
@@ -199,7 +202,7 @@
     def _limit_group_spread(
         self, request: PendingRequest, available: list[EndpointState]
     ) -> list[EndpointState]:
-        """Those of the available endpoints where a group may be placed, so that it stays on few."""
+        """The available endpoints where a group's connection may be placed, so that it stays on few."""
         zone = self.state.settings.zone
         positions = group_spread_candidates(
             (request.group in it.group_connections, it.zone == zone) for it in available
@@ -208,7 +211,7 @@
         return [it for it in available if it.id in allowed]
 
     def can_attempt(self, request: PendingRequest, endpoint: EndpointState) -> bool:
-        """Whether an endpoint takes new requests, and the class allows the next attempt there."""
+        """Whether an endpoint takes new requests and the class allows the next attempt there."""
         if endpoint.is_down or not endpoint.is_listed or endpoint.id in self.state.banned:
             return False
         first_endpoint, request_class = request.first_uncertain_endpoint, request.request_class
--- a/puffinpost/balancing/endpoint_table.py
+++ b/puffinpost/balancing/endpoint_table.py
@@ -1,7 +1,7 @@
 """The table of endpoints: applies the endpoint list and operators' bans.
 
-`Balancer` passes both kinds of events here; connections are drained through `Migration`, starts announced to
-`SlowStart`. It never starts attempts.
+`Balancer` passes both kinds of events here. Connections are drained through `Migration`, and endpoint starts
+are reported to `SlowStart`. This module never starts attempts.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from puffinpost.balancing.model import EndpointState
 from puffinpost.balancing.slow_start import SlowStart
 
-BAN_DRAIN_OBJECTIVES = 3.0  # latency objectives over which a banned endpoint's connections are migrated
-READMISSION_TOKENS = 1.0  # one connection at once: nothing else shows that the endpoint is back
+BAN_DRAIN_OBJECTIVES = 3.0  # latency objectives within which a banned endpoint's connections are migrated
+READMISSION_TOKENS = 1.0  # one connection immediately: nothing else shows that the endpoint is back
 
 
 class EndpointTable:
-    """Which endpoints there are, and which of them are excluded."""
+    """The known endpoints, and which of them are excluded."""
 
     def __init__(self, slow_start: SlowStart, migration: Migration) -> None:
         self.state, self.slow_start, self.migration = slow_start.state, slow_start, migration
 
     def on_endpoint_list(self, event: EndpointListUpdate) -> None:
-        """Applies an endpoint list, full or a delta."""
+        """Applies a full endpoint list or a delta."""
         endpoints = self.state.endpoints
         if event.kind is not ListUpdateKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
@@ -70,7 +70,7 @@
                 self.slow_start.on_endpoint_started(endpoint, entry.started_ns, self.state.random.random())
 
     def on_ban_changed(self, event: EndpointBanChanged) -> bool:
-        """Operators ban an endpoint, whatever the list says, or lift the ban; whether one is readmitted."""
+        """Bans an endpoint whatever its listed status, or lifts the ban. Returns whether it is readmitted."""
         if event.banned:
             self._ban(event)
             return False
@@ -86,9 +86,10 @@
             state.readmitted.remove(event.endpoint)
 
     def _lift_ban(self, event: EndpointBanChanged) -> bool:
-        """Operators restart what they ban, so it starts its warm-up: now, or when the list says.
+        """Lifts a ban; the endpoint warms up, because operators restart the endpoints that they ban.
 
-        It is preferred for the next connection, for nothing else shows that it is back.
+        The warm-up starts now, or at the listed start of the endpoint if that is after the ban. The endpoint
+        is preferred for the next connection, because nothing else shows that it is back.
         """
         state = self.state
         endpoint = state.endpoints.get(event.endpoint)
@@ -102,7 +103,7 @@
         return True
 
     def excluded_count(self) -> int:
-        """How many of the listed endpoints get nothing new now."""
+        """The number of listed endpoints that currently get no new requests."""
         state = self.state
         return sum(
             endpoint.is_listed and (state.is_excluded(endpoint) or endpoint.ejected_until_ns > state.now_ns)
