--- a/puffinpost/balancing/outlier_detection.py
+++ b/puffinpost/balancing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Ejects endpoints that fail for a while, and gives up those that stall.
+"""Temporarily ejects endpoints that fail, and migrates connections off endpoints that have stalled.
 
-Judges outcomes of attempts and health checks, overdue responses and delay reports, which the request
-lifecycle and `Balancer` pass here. It never chooses an endpoint.
+Evaluates results of attempts and health checks, overdue responses and delay reports, which the request
+lifecycle and `Balancer` pass here. This module never selects an endpoint.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 from puffinpost.balancing.migration import Migration
 from puffinpost.balancing.model import EndpointState
 
-EJECTION_OBJECTIVES = 2.0  # latency objectives of a first ejection, doubled with each further failure ...
-MAX_EJECTION_DOUBLINGS = 4  # ... this often at most, so that a recovery is seen within seconds
+EJECTION_OBJECTIVES = 2.0  # length of a first ejection in latency objectives; doubles at each further failure
+MAX_EJECTION_DOUBLINGS = 4  # limits the doublings, so that a recovery is noticed within seconds
 UNREACHABLE_RESULTS = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
 HEALTHY_RESULTS = (AttemptResult.SERVED, AttemptResult.REJECTED, AttemptResult.SUPERSEDED)
 
 
 class OutlierDetector:
-    """What answers and failures say of endpoints."""
+    """Evaluates the successes and failures of endpoints."""
 
     def __init__(self, migration: Migration, health_checks: HealthCheckScheduler) -> None:
         self.state, self.migration, self.health_checks = migration.state, migration, health_checks
 
     def on_failure(self, endpoint: EndpointState) -> None:
-        """Ejects an endpoint that does not answer, longer with each failure in a row."""
+        """Ejects an endpoint that does not respond, for longer with each consecutive failure."""
         doublings = min(endpoint.consecutive_failures, MAX_EJECTION_DOUBLINGS)
         ejection_ns = self.state.objectives_ns(EJECTION_OBJECTIVES * 2.0**doublings)
         endpoint.ejected_until_ns = self.state.now_ns + ejection_ns
         endpoint.consecutive_failures += 1
 
     def on_success(self, endpoint: EndpointState) -> None:
-        """The endpoint answered as it should: an ejection ends."""
+        """Ends an ejection: the endpoint responded correctly."""
         endpoint.stall.reset()
         endpoint.consecutive_failures = 0
         endpoint.ejected_until_ns = 0
 
     def on_health_check(self, endpoint: EndpointState, event: HealthCheckCompleted) -> None:
-        """Judges an endpoint by the result of a health check, not by the load report in it."""
+        """Evaluates the result of a health check, but not its load report."""
         if event.result not in HEALTHY_RESULTS:
             self.on_failure(endpoint)
         reached_dial_timeout = event.elapsed_ns >= self.state.settings.dial_timeout_ns
@@ -46,20 +46,22 @@
             endpoint.stall.missed_health_checks += 1
             self._check_stall(endpoint)
         else:
-            endpoint.stall.reset()  # a refused connection too: the machine is up, and resets what it lost
+            # A refused connection is a response too: the machine is up and resets connections that it lost.
+            endpoint.stall.reset()
 
     def on_response_overdue(self, event: ResponseOverdue) -> None:
-        """A response is overdue on one of an endpoint's connections."""
+        """Records that a response is overdue on one of an endpoint's connections."""
         endpoint = self.state.endpoints.get(event.endpoint)
         if endpoint is not None:
             endpoint.stall.response_overdue = True
             self._check_stall(endpoint)
 
     def _check_stall(self, endpoint: EndpointState) -> None:
-        """There is a sign that an endpoint has stalled: gives it up, or checks whether it answers.
+        """Handles a sign of a stall: marks the endpoint as stalled, or checks whether it responds.
 
-        Guards against connections that stay where nothing answers. Where one is given up, those of its zone
-        that have connections are checked too: a zone is lost, or cut off, as one.
+        Otherwise connections would stay on an endpoint that does not respond. If an endpoint is marked as
+        stalled, the others of its zone that have connections are checked too, because a zone fails or is cut
+        off as a whole.
         """
         zone_peers = [
             it for it in self.state.endpoints.values() if it.zone == endpoint.zone and it is not endpoint
@@ -73,9 +75,9 @@
             self.health_checks.check_liveness(zone_peers)
 
     def on_delay_report(self, event: DelayReported) -> None:
-        """Records how long messages take. Past the objective, checks the endpoint and sheds its excess load.
+        """Records a message delay. If it misses the objective, checks the endpoint and sheds its excess load.
 
-        Guards against an endpoint gone slow that little traffic seldom checks.
+        With little traffic, an endpoint that has become slow would otherwise rarely be checked.
         """
         state = self.state
         endpoint = state.endpoints.get(event.endpoint)
