--- a/puffinpost/balancing/request_lifecycle.py
+++ b/puffinpost/balancing/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""The lifecycle of a request: its queue, its attempts, its deadline and its one final answer.
+"""The lifecycle of a request: queueing, attempts, deadline and exactly one final answer.
 
-`Balancer` passes the events of clients, attempts, health checks and timers here. Endpoints are chosen by the
-endpoint selector and judged by the outlier detector.
+`Balancer` passes the events of clients, attempts, health checks and timers here. Endpoints are selected by
+the endpoint selector and evaluated by the outlier detector.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from puffinpost.balancing.outlier_detection import UNREACHABLE_RESULTS, OutlierDetector
 from puffinpost.balancing.settings import Idempotency, RequestId
 
-MAX_BACKOFF_DOUBLINGS = 4  # the backoff of a queued request doubles this often at most
-MAX_SAMPLES = 4  # samples of candidates before a request backs off: bounds the cost of a full fleet
-ATTEMPT_TIMEOUT_OBJECTIVES = 1.0  # latency objectives of a first attempt's timeout, where it may be retried
+MAX_BACKOFF_DOUBLINGS = 4  # limits the doublings of a queued request's backoff
+MAX_SAMPLES = 4  # samples of candidates before a request backs off: limits the cost if the fleet is full
+ATTEMPT_TIMEOUT_OBJECTIVES = 1.0  # timeout of a first attempt that may be retried, in latency objectives
 OVERLOAD_RESULTS = (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.REJECTED)
-# Results after which another endpoint is tried without backoff, for as long as candidates are left.
+# Results after which another endpoint is tried without backoff, as long as candidates are left.
 IMMEDIATE_RETRY_RESULTS = (AttemptResult.CONNECT_FAILED, AttemptResult.SUPERSEDED)
 
 
 class RequestLifecycle:
-    """All requests of one balancer. Events for requests that are unknown or ended change nothing."""
+    """All requests of one balancer. Events about unknown or ended requests change nothing."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         self.outlier_detector = outlier_detector
         self.health_checks = health_checks
         self.concurrency_limiter = concurrency_limiter
-        self.queue: dict[RequestId, PendingRequest] = {}  # those without an attempt in flight
+        self.queue: dict[RequestId, PendingRequest] = {}  # requests without an attempt in flight
 
     def on_request(self, event: RequestReceived) -> None:
-        """A client requests a connection."""
+        """Registers a client's request for a connection, and places or queues it."""
         state = self.state
         if self._is_duplicate_or_invalid(event):
             return
@@ -64,13 +64,13 @@
         if request.hinted_load is not None:
             self.accounting.record_hinted_load(request.hinted_load)
         self.health_checks.add_credit(CREDIT_PER_REQUEST)
-        # The timer is due a tick early, so that the answer is in time.
+        # The timer expires one tick early, so that the answer is in time.
         until_deadline_ns = max(0, request.deadline_ns - state.tick_ns - state.now_ns)
         state.actions.append(StartTimer(until_deadline_ns, event.request + 1))
         self._place(request)
 
     def on_connection_adopted(self, event: ConnectionAdopted) -> None:
-        """A connection was open before this balancer started."""
+        """Registers a connection that was open before this balancer started."""
         state, received = self.state, event.request
         if self._is_duplicate_or_invalid(received):
             return
@@ -87,13 +87,13 @@
         return event.request in self.state.requests or event.request_class >= len(self.state.settings.classes)
 
     def _place(self, request: PendingRequest) -> None:
-        """Starts the request's next attempt, or queues the request where no endpoint can take it now."""
+        """Starts the request's next attempt, or queues the request if no endpoint can take it now."""
         self.queue[request.request_id] = request
         if self.concurrency_limiter.is_full():
             return
         candidates = self.endpoint_selector.sample(request) if request.rejected_samples < MAX_SAMPLES else []
         if not candidates:
-            # All were sampled, or none is allowed: from the start again, after a backoff.
+            # All endpoints were sampled or none is allowed: start over after a backoff.
             request.rejected_samples = 0
             request.candidates_checked = False
             self._back_off(request)
@@ -133,10 +133,10 @@
         state.actions.append(StartAttempt(request.request_id, endpoint.id, timeout_ns))
 
     def _attempt_timeout_ns(self, request: PendingRequest) -> int:
-        """The time until the deadline, or less where another attempt is possible.
+        """The time until the deadline, or less if another attempt is possible.
 
-        Guards against a stalled endpoint: leaves time for another one. The timeout doubles with each attempt:
-        where all are slow, cancelled work that is requested again adds to the load.
+        If the endpoint has stalled, this leaves time to try another one. The timeout doubles with each
+        attempt: if all endpoints are slow, cancelling work and requesting it again adds to the load.
         """
         request_class = request.request_class
         timeout_ns = request.deadline_ns - self.state.now_ns
@@ -147,7 +147,7 @@
         return max(1, timeout_ns)
 
     def on_established(self, event: AttemptEstablished) -> None:
-        """An attempt's connection is established."""
+        """Records that an attempt's connection is established."""
         endpoint = self.state.endpoints.get(event.endpoint)
         if endpoint is not None:
             self.outlier_detector.on_success(endpoint)
@@ -163,14 +163,14 @@
             self.place_queued()
 
     def _request_of_attempt(self, event: AttemptEstablished | AttemptEnded) -> PendingRequest | None:
-        """The request whose latest attempt an event is about, where that is in flight."""
+        """The request of an event, if the event is about its latest attempt and that is in flight."""
         request = self.state.requests.get(event.request)
         if request is None or not request.is_in_flight or event.attempt != request.attempts - 1:
             return None
         return request
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt or a connection has ended: another attempt, the final answer, or nothing more."""
+        """An attempt or a connection has ended: retries the request, answers it, or removes it."""
         endpoint = self.state.endpoints.get(event.endpoint)
         if endpoint is not None:
             if event.load_report:
@@ -202,7 +202,7 @@
             self.outlier_detector.migration.rebalance(endpoint)
 
     def _on_setup_ended(self, request: PendingRequest, result: AttemptResult) -> None:
-        """An attempt ended before its connection was established."""
+        """Accounts for an attempt that ended before its connection was established."""
         self.concurrency_limiter.pending_attempts -= 1
         if result in OVERLOAD_RESULTS:
             self.concurrency_limiter.on_failure()
@@ -212,7 +212,7 @@
             endpoint.placements = [item for item in endpoint.placements if item != unused_placement]
 
     def _can_retry(self, request: PendingRequest) -> bool:
-        """Whether attempts and time are left, and the class allows another attempt."""
+        """Whether attempts and time are left and the class allows another attempt."""
         state = self.state
         if request.attempts >= state.settings.max_attempts:
             return False
@@ -222,7 +222,7 @@
         return not (has_uncertain_attempt and request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT)
 
     def on_health_check(self, event: HealthCheckCompleted) -> None:
-        """A health check ended, with an answer or without; places the requests that waited for it."""
+        """Records the result of a health check, and places the requests that waited for it."""
         endpoint = self.state.endpoints.get(event.endpoint)
         if endpoint is None:
             return
@@ -239,13 +239,13 @@
                 self._place(request)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """The client disconnected: its request gets no answer any more."""
+        """Ends the request of a client that has disconnected, without a final answer."""
         request = self.state.requests.get(event.request)
         if request is not None:
             self._finish(request)
 
     def on_deadline(self, request_id: RequestId) -> None:
-        """A request's deadline is near: it is answered, or its attempt has the time that is left."""
+        """Answers a request whose deadline is near, or gives its attempt the time that is left."""
         state = self.state
         request = state.requests.get(request_id)
         if request is None or request.is_finished or request.is_established:
@@ -256,7 +256,7 @@
             self._send_final_answer(request)
 
     def _send_final_answer(self, request: PendingRequest) -> None:
-        """Gives a request without a connection its final answer: rejected if a retry is safe, else failed."""
+        """Sends the final answer of an unestablished request: rejected if a retry is safe, else failed."""
         if request.is_finished:
             return
         settings, actions = self.state.settings, self.state.actions
@@ -283,7 +283,7 @@
         self.state.requests.pop(request.request_id, None)
 
     def place_queued(self) -> None:
-        """Places the queued requests whose backoff is over, as far as the concurrency limit allows."""
+        """Places the queued requests whose backoff has ended, as far as the concurrency limit allows."""
         for request in list(self.queue.values()):
             if self.concurrency_limiter.is_full():
                 break
