--- a/puffinpost/balancing/balancer.py
+++ b/puffinpost/balancing/balancer.py
@@ -139,7 +139,7 @@
             self.state.actions.append(WriteLog("endpoint list poll failed, retrying"))
             return
         if event.kind is not ListUpdateKind.CACHED:
-            self.poll_schedule.on_list()
+            self.poll_schedule.on_endpoint_list()
         self.endpoint_table.on_endpoint_list(event)
         self.request_lifecycle.place_queued()
 
--- a/puffinpost/balancing/poll_schedule.py
+++ b/puffinpost/balancing/poll_schedule.py
@@ -85,7 +85,7 @@
         self.next_poll_ns = None
         return True
 
-    def on_list(self) -> None:
+    def on_endpoint_list(self) -> None:
         """Records that an endpoint list was received, whose changes are watched."""
         self.next_poll_ns = None
         self.consecutive_failures = 0
--- a/puffinpost/balancing/request_lifecycle.py
+++ b/puffinpost/balancing/request_lifecycle.py
@@ -93,7 +93,7 @@
             return
         candidates = self.endpoint_selector.sample(request) if request.rejected_samples < MAX_SAMPLES else []
         if not candidates:
-            # All endpoints were sampled or none is allowed: start over after a backoff.
+            # All samples were tried or no endpoint is allowed: start over after a backoff.
             request.rejected_samples = 0
             request.candidates_checked = False
             self._back_off(request)
--- a/puffinpost/balancing/tenant_quotas.py
+++ b/puffinpost/balancing/tenant_quotas.py
@@ -58,10 +58,10 @@
     this zone and the first in other zones are scored. All nodes draw the same order.
     """
     positions: list[int] = []
-    zones_without_group: set[bool] = set()
+    scored_zones: set[bool] = set()
     for position, (has_group, in_zone) in enumerate(endpoints):
-        if has_group or in_zone not in zones_without_group:
+        if has_group or in_zone not in scored_zones:
             positions.append(position)
         if not has_group:
-            zones_without_group.add(in_zone)
+            scored_zones.add(in_zone)
     return positions
