--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests that start the real program."""
+"""Fixtures for tests that start the program as a process."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 from typing import Any
 
 import pytest
-from standins import Discovery, Node, Server
+from stand_ins import NodeProcess, StandInDiscovery, StandInEndpoint
 
 pytest_plugins = ("known_red",)
 
 
-class World:
-    """A discovery, two transcribers on its list, and the node."""
+class Deployment:
+    """A stand-in discovery service, two stand-in endpoints, and the started nodes."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.discovery = Discovery()
-        self.servers = [Server(), Server()]
-        self.nodes: list[Node] = []
-
-    def start(self, transcribers: int = 2, **more: Any) -> Node:
-        for number, server in enumerate(self.servers[:transcribers]):
-            self.discovery.tell(f"s-{number}", server.address)
-        self.nodes.append(Node(self.folder, self.discovery, **more))
+        self.discovery = StandInDiscovery()
+        self.endpoints = [StandInEndpoint(), StandInEndpoint()]
+        self.nodes: list[NodeProcess] = []
+
+    def start(self, endpoint_count: int = 2, **options: Any) -> NodeProcess:
+        for number, endpoint in enumerate(self.endpoints[:endpoint_count]):
+            self.discovery.set_endpoint(f"s-{number}", endpoint.address)
+        self.nodes.append(NodeProcess(self.folder, self.discovery, **options))
         return self.nodes[-1]
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    made = World(tmp_path)
-    yield made
-    for node in made.nodes:
+def deployment(tmp_path: Path) -> Iterator[Deployment]:
+    deployment = Deployment(tmp_path)
+    yield deployment
+    for node in deployment.nodes:
         node.process.kill()
         node.process.wait()
-        for line in node.log.read_text().splitlines():
-            print(line)  # pytest shows it where the test failed
-        assert "Traceback" not in node.log.read_text()
+        for line in node.log_path.read_text().splitlines():
+            print(line)  # pytest shows captured output when the test fails
+        assert "Traceback" not in node.log_path.read_text()
     with contextlib.suppress(OSError):
-        made.discovery.server.socket.close()
+        deployment.discovery.listener.socket.close()
 
 
-Start = Callable[..., Node]
+StartNode = Callable[..., NodeProcess]
--- a/tests/test_allowance.py
+++ b/tests/test_allowance.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 import pytest
-from world import PLAIN, S
+from balancer_harness import BALANCER_SETTINGS, S
 
 from puffinpost.balancing.capacity import CapacityEstimator
 from puffinpost.balancing.events import EndpointEntry, EndpointStatus
@@ -90,7 +90,7 @@
 def test_balancers_that_were_idle_do_not_push_a_cold_server_over(nodes: int) -> None:
     """The real book-keeping: nobody sends for eight seconds, then all would."""
     sent = []
-    settings = PLAIN
+    settings = BALANCER_SETTINGS
     for me in range(nodes):
         books = BalancerState(
             Settings(
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -5,9 +5,9 @@
 import random
 from typing import Any
 
+from balancer_harness import MS, BalancerHarness, S
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from world import MS, Driver, S
 
 from puffinpost.balancing.actions import (
     Action,
@@ -96,8 +96,8 @@
         self.sent: dict[int, int] = {}
         self.standing: set[int] = set()
         self.answered: set[int] = set()
-        self.node = Driver(told, *self.truth.values(), seed=seed)
-        self.node.now += S
+        self.node = BalancerHarness(told, *self.truth.values(), seed=seed)
+        self.node.now_ns += S
 
     def line(self, number: int, status: EndpointStatus = EndpointStatus.READY) -> EndpointEntry:
         chance, told = self.chance, self.told
@@ -117,7 +117,7 @@
         chance.choice([*often, *often, self.tell, self.note])()
 
     def give(self, event: Event) -> None:
-        for action in self.node.give(event):
+        for action in self.node.handle(event):
             self.check(action)
 
     def check(self, action: Action) -> None:
@@ -147,14 +147,14 @@
 
     def ask(self) -> None:
         node, chance = self.node, self.chance
-        node.last, node.next = node.next, node.next + 1
+        node.last_request, node.next_request = node.next_request, node.next_request + 1
         request_class = chance.randrange(len(self.told.classes))
         load = chance.choice([None, 0, 100])
         self.give(
             RequestReceived(
-                node.last,
+                node.last_request,
                 request_class,
-                node.now + self.told.classes[request_class].deadline_ns,
+                node.now_ns + self.told.classes[request_class].deadline_ns,
                 chance.randrange(6),
                 chance.getrandbits(48),
                 chance.randrange(4),
@@ -164,13 +164,13 @@
 
     def wait(self) -> None:
         node = self.node
-        end = node.now + self.chance.choice([5, 60, 900]) * MS
+        end = node.now_ns + self.chance.choice([5, 60, 900]) * MS
         while node.timers and min(node.timers)[0] <= end:
             due = min(node.timers)
             node.timers.remove(due)
-            node.now = max(node.now, due[0])
+            node.now_ns = max(node.now_ns, due[0])
             self.give(TimerFired(due[2]))
-        node.now = end
+        node.now_ns = end
 
     def finish(self) -> None:
         if not self.out:
@@ -221,8 +221,8 @@
     rules = Rules(told, seed)
     for _ in range(120):
         rules.step()
-    until = rules.node.now + 6 * S  # longer than any client waits
-    while rules.node.now < until:
+    until = rules.node.now_ns + 6 * S  # longer than any client waits
+    while rules.node.now_ns < until:
         rules.wait()
     # Who has no attempt out has an answer, whoever it was.
-    assert set(range(1, rules.node.next)) == rules.answered | set(rules.out) | rules.standing
+    assert set(range(1, rules.node.next_request)) == rules.answered | set(rules.out) | rules.standing
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -6,25 +6,25 @@
 import time
 
 import pytest
-from conftest import World
-from standins import Node, Peer
+from conftest import Deployment
+from stand_ins import NodeProcess, SocketPeer
 from test_mqtt import MqttWorld
 from test_node import OPEN, first_of, fresh
 from test_node import served as served_on_lines
-from xmpp_standins import HEADER, XmppWorld, opening
+from xmpp_stand_ins import STREAM_HEADER, XmppDeployment, open_request
 
 from puffinpost.observability.log import MAX_CLIENT_LINES_PER_SECOND
 
 
-def named(node: Node, peer: Peer) -> str:
+def named(node: NodeProcess, peer: SocketPeer) -> str:
     """What the log says of this peer."""
     host, port = peer.socket.getsockname()
-    node.wait_log(f"{host}:{port}: ")
-    return node.log.read_text().split(f"{host}:{port}: ")[1].split("\n")[0]
+    node.wait_for_log(f"{host}:{port}: ")
+    return node.log_path.read_text().split(f"{host}:{port}: ")[1].split("\n")[0]
 
 
-def unhurt(world: World, node: Node) -> None:
-    served_on_lines(world, node.client(fresh(OPEN % 3000)))
+def unhurt(deployment: Deployment, node: NodeProcess) -> None:
+    served_on_lines(deployment, node.connect(fresh(OPEN % 3000)))
     assert node.process.poll() is None
 
 
@@ -37,74 +37,74 @@
         b"OPEN \xff\r\n",
     ],
 )
-def test_a_bad_line_of_a_client(world: World, sent: bytes) -> None:
-    node = world.start()
-    peer = node.client(sent)
-    assert peer.line() == b"ERR\r\n" and peer.ending() == "end"
-    assert named(node, peer) and node.counts()["bad_lines"] == 1
-    unhurt(world, node)
-
-
-def test_a_bad_packet_of_a_device(world: World) -> None:
-    front = MqttWorld(world)
-    peer = front.node.client(b"GET / HTTP/1.1\r\n\r\n", front.port)
-    assert peer.ending() == "end"
-    assert named(front.node, peer) and front.node.counts()["mqtt_bad_packets"] == 1
-    unhurt(world, front.node)
-
-
-def test_a_bad_stream_of_a_client(world: World) -> None:
-    front = XmppWorld(world)
-    peer = front.connect(HEADER + b"<a></b>")
-    peer.until(b"</stream:stream>")
+def test_a_bad_line_of_a_client(deployment: Deployment, sent: bytes) -> None:
+    node = deployment.start()
+    peer = node.connect(sent)
+    assert peer.read_line() == b"ERR\r\n" and peer.wait_for_close() == "end"
+    assert named(node, peer) and node.read_counters()["bad_lines"] == 1
+    unhurt(deployment, node)
+
+
+def test_a_bad_packet_of_a_device(deployment: Deployment) -> None:
+    front = MqttWorld(deployment)
+    peer = front.node.connect(b"GET / HTTP/1.1\r\n\r\n", front.port)
+    assert peer.wait_for_close() == "end"
+    assert named(front.node, peer) and front.node.read_counters()["mqtt_bad_packets"] == 1
+    unhurt(deployment, front.node)
+
+
+def test_a_bad_stream_of_a_client(deployment: Deployment) -> None:
+    front = XmppDeployment(deployment)
+    peer = front.connect(STREAM_HEADER + b"<a></b>")
+    peer.read_until(b"</stream:stream>")
     assert named(front.node, peer).startswith("not-well-formed")
-    assert front.node.counts()["xmpp_bad_streams"] == 1 and front.node.process.poll() is None
+    assert front.node.read_counters()["xmpp_bad_streams"] == 1 and front.node.process.poll() is None
 
 
-def test_a_bad_session_of_a_device(world: World) -> None:
-    front = MqttWorld(world)
+def test_a_bad_session_of_a_device(deployment: Deployment) -> None:
+    front = MqttWorld(deployment)
     phone = front.phone()
     phone.subscribe()
     phone.publish("open", b"OPEN 1 2 c=live-text,d=soon")
     phone.flush()
-    assert named(front.node, phone.peer) and front.node.counts()["bad_lines"] == 1
-    unhurt(world, front.node)
+    assert named(front.node, phone.peer) and front.node.read_counters()["bad_lines"] == 1
+    unhurt(deployment, front.node)
 
 
-def test_a_bad_session_of_an_xmpp_client(world: World) -> None:
-    front = XmppWorld(world)
-    peer, _ = front.client()
-    peer.send(opening(2000, "other"))
-    assert b"<bad-request" in peer.until(b"</iq>")
-    assert named(front.node, peer) and front.node.counts()["bad_lines"] == 1
+def test_a_bad_session_of_an_xmpp_client(deployment: Deployment) -> None:
+    front = XmppDeployment(deployment)
+    peer, _ = front.connect_and_bind()
+    peer.send(open_request(2000, "other"))
+    assert b"<bad-request" in peer.read_until(b"</iq>")
+    assert named(front.node, peer) and front.node.read_counters()["bad_lines"] == 1
 
 
 @pytest.mark.parametrize("stands", [False, True])
-def test_a_bad_line_of_a_transcriber(world: World, stands: bool) -> None:
+def test_a_bad_line_of_a_transcriber(deployment: Deployment, stands: bool) -> None:
     """Before it stands the client is served elsewhere, for its class may be repeated."""
-    node = world.start()
-    client = node.client(fresh(OPEN % 3000))
-    server, relay = first_of(world.servers)
-    relay.line()
+    node = deployment.start()
+    client = node.connect(fresh(OPEN % 3000))
+    server, relay = first_of(deployment.endpoints)
+    relay.read_line()
     if stands:
         relay.send(b"UP 1\r\n")
-        assert client.line() == b"UP 1\r\n"
+        assert client.read_line() == b"UP 1\r\n"
     relay.send(b"x" * 5000)
-    name = f"s-{world.servers.index(server)}"
-    node.wait_log(f"bad line from transcriber {name}: ")
-    assert node.counts()["bad_answers"] == 1 and relay.ending() in ("end", "reset")
+    name = f"s-{deployment.endpoints.index(server)}"
+    node.wait_for_log(f"bad line from transcriber {name}: ")
+    assert node.read_counters()["bad_answers"] == 1 and relay.wait_for_close() in ("end", "reset")
     if stands:
-        assert client.ending() == "reset"
+        assert client.wait_for_close() == "reset"
     else:
-        served_on_lines(world, client)
-    unhurt(world, node)
+        served_on_lines(deployment, client)
+    unhurt(deployment, node)
 
 
-def test_bad_input_by_the_hundred_is_a_few_lines_of_the_log(world: World) -> None:
-    node = world.start()
+def test_bad_input_by_the_hundred_is_a_few_lines_of_the_log(deployment: Deployment) -> None:
+    node = deployment.start()
     began = time.monotonic()
     for _ in range(100):
-        assert node.client(b"GARBAGE\r\n").line() == b"ERR\r\n"
-    assert node.counts()["bad_lines"] == 100
-    said = len(re.findall("bad line from a client at", node.log.read_text()))
+        assert node.connect(b"GARBAGE\r\n").read_line() == b"ERR\r\n"
+    assert node.read_counters()["bad_lines"] == 100
+    said = len(re.findall("bad line from a client at", node.log_path.read_text()))
     assert 1 <= said <= MAX_CLIENT_LINES_PER_SECOND * (time.monotonic() - began + 2)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -7,78 +7,87 @@
 from pathlib import Path
 
 import pytest
-from conftest import World
-from standins import Node
+from balancer_harness import (
+    BALANCER_SETTINGS,
+    BalancerHarness,
+    S,
+    actions_of_type,
+    endpoint_entry,
+    single_action,
+)
+from conftest import Deployment
+from stand_ins import NodeProcess
 from test_node import OPEN, first_of, fresh, served
-from world import PLAIN, Driver, S, line, of, only
 
 from puffinpost.admin.ban_file import BanFile
 from puffinpost.balancing.actions import CheckHealth, Migrate, StartAttempt
 from puffinpost.balancing.events import EndpointBanChanged, EndpointListUpdate, ListUpdateKind
 
 
-def set_ban(node: Node, number: int, what: str = "disable") -> int:
-    return node.call("POST", f"/transcribers/{what}/s-{number}")[0]
+def set_ban(node: NodeProcess, number: int, what: str = "disable") -> int:
+    return node.request_admin("POST", f"/transcribers/{what}/s-{number}")[0]
 
 
-def assert_rejected(node: Node) -> None:
+def assert_rejected(node: NodeProcess) -> None:
     """A client is rejected, because no endpoint may serve it."""
-    assert node.client(fresh(OPEN % 700)).line().startswith(b"BUSY")
+    assert node.connect(fresh(OPEN % 700)).read_line().startswith(b"BUSY")
 
 
-def test_banned_endpoint_gets_no_attempt_until_the_ban_is_lifted(world: World) -> None:
-    node = world.start(1)
-    client = node.client(fresh(OPEN % 3000))
-    upstream = served(world, client)
+def test_banned_endpoint_gets_no_attempt_until_the_ban_is_lifted(deployment: Deployment) -> None:
+    node = deployment.start(1)
+    client = node.connect(fresh(OPEN % 3000))
+    upstream = served(deployment, client)
     assert set_ban(node, 0) == 200 and set_ban(node, 0) == 200
-    assert client.line() == b"MOVE\r\n" and upstream.ending() == "end"
-    world.discovery.tell("s-0", world.servers[0].address)  # the list cannot lift it
+    assert client.read_line() == b"MOVE\r\n" and upstream.wait_for_close() == "end"
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)  # the list cannot lift it
     assert_rejected(node)
-    assert not world.servers[0].asked() and node.figures()["out_of_rotation"] == 1
+    assert (
+        not deployment.endpoints[0].has_pending_connection() and node.read_metrics()["out_of_rotation"] == 1
+    )
     assert set_ban(node, 0, "enable") == 200 and set_ban(node, 0, "enable") == 200
-    client = node.client(fresh(OPEN % 3000))
-    assert served(world, client) and node.figures()["out_of_rotation"] == 0
+    client = node.connect(fresh(OPEN % 3000))
+    assert served(deployment, client) and node.read_metrics()["out_of_rotation"] == 0
 
 
-def test_ban_of_an_unknown_endpoint_is_rejected(world: World) -> None:
-    node = world.start(1)
+def test_ban_of_an_unknown_endpoint_is_rejected(deployment: Deployment) -> None:
+    node = deployment.start(1)
     for name in ("s-9", "s-%39"):
-        assert node.call("POST", f"/transcribers/disable/{name}")[0] == 404
-    assert node.call("GET", "/transcribers/disable/s-0")[0] == 405
-    client = node.client(fresh(OPEN % 3000))
-    assert served(world, client)
+        assert node.request_admin("POST", f"/transcribers/disable/{name}")[0] == 404
+    assert node.request_admin("GET", "/transcribers/disable/s-0")[0] == 405
+    client = node.connect(fresh(OPEN % 3000))
+    assert served(deployment, client)
 
 
-def test_ban_outlives_endpoint_list_and_process(world: World) -> None:
-    node = world.start()
+def test_ban_outlives_endpoint_list_and_process(deployment: Deployment) -> None:
+    node = deployment.start()
     assert set_ban(node, 0) == 200
-    world.discovery.tell("s-0", world.servers[0].address, "removed")
-    node.figure("registry_entries", 1)
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "removed")
+    node.wait_for_metric("registry_entries", 1)
     assert node.stop() == 0
-    world.discovery.tell("s-0", world.servers[0].address)
-    again = world.start()
-    clients = [again.client(fresh(OPEN % 3000)) for _ in range(8)]
-    upstreams = [served(world, client) for client in clients]
-    assert not world.servers[0].asked() and len(upstreams) == 8
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
+    again = deployment.start()
+    clients = [again.connect(fresh(OPEN % 3000)) for _ in range(8)]
+    upstreams = [served(deployment, client) for client in clients]
+    assert not deployment.endpoints[0].has_pending_connection() and len(upstreams) == 8
     assert set_ban(again, 0, "enable") == 200 and set_ban(again, 1) == 200
-    late = again.client(fresh(OPEN % 3000))
-    assert first_of(world.servers[:1]) and late
+    late = again.connect(fresh(OPEN % 3000))
+    assert first_of(deployment.endpoints[:1]) and late
 
 
-def test_two_processes_follow_one_ban_file(world: World) -> None:
-    nodes = [world.start(1), world.start(1)]
+def test_two_processes_follow_one_ban_file(deployment: Deployment) -> None:
+    nodes = [deployment.start(1), deployment.start(1)]
     assert set_ban(nodes[0], 0) == 200
-    nodes[1].figure("out_of_rotation", 1)
+    nodes[1].wait_for_metric("out_of_rotation", 1)
     assert_rejected(nodes[1])
     assert set_ban(nodes[1], 0, "enable") == 200
-    nodes[0].figure("out_of_rotation", 0)
+    nodes[0].wait_for_metric("out_of_rotation", 0)
 
 
 @pytest.mark.parametrize("damage", ["", "{", "[]", '{"s-0": "x"}', "gone"])
-def test_damaged_ban_file_is_repaired_from_memory(world: World, damage: str) -> None:
-    node = world.start(1)
+def test_damaged_ban_file_is_repaired_from_memory(deployment: Deployment, damage: str) -> None:
+    node = deployment.start(1)
     assert set_ban(node, 0) == 200
-    path = next(world.folder.glob("*.bans"))
+    path = next(deployment.folder.glob("*.bans"))
     if damage == "gone":
         path.unlink()
     else:
@@ -101,75 +110,88 @@
     assert BanFile(str(tmp_path), "n0").names == {"s-1": 7}
 
 
-def test_ban_that_cannot_be_written_is_rejected(world: World) -> None:
-    node = world.start(1)
-    (world.folder / "puffinpost-n0.lock").mkdir()
-    assert set_ban(node, 0) == 500 and node.figures()["out_of_rotation"] == 0
+def test_ban_that_cannot_be_written_is_rejected(deployment: Deployment) -> None:
+    node = deployment.start(1)
+    (deployment.folder / "puffinpost-n0.lock").mkdir()
+    assert set_ban(node, 0) == 500 and node.read_metrics()["out_of_rotation"] == 0
 
 
 # --- the decisions ----------------------------------------------------------------------------------
 
 
 def test_banned_endpoint_gets_no_request_and_no_health_check_and_its_connections_migrate() -> None:
-    world = Driver(PLAIN, line(1), line(2))
-    seen = {world.open().endpoint for _ in range(8)}
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    seen = {world.establish_request().endpoint for _ in range(8)}
     assert seen == {1, 2}
-    world.give(EndpointBanChanged(1, True, world.now))
-    got = world.run(3 * S)
-    assert of(got, Migrate) and not any(probe.endpoint == 1 for probe in of(got, CheckHealth))
-    world.give(EndpointListUpdate(ListUpdateKind.FULL, (line(1, started_ns=world.now), line(2))))
-    assert {only(world.ask(), StartAttempt).endpoint for _ in range(8)} == {2}
+    world.handle(EndpointBanChanged(1, True, world.now_ns))
+    got = world.advance(3 * S)
+    assert actions_of_type(got, Migrate) and not any(
+        probe.endpoint == 1 for probe in actions_of_type(got, CheckHealth)
+    )
+    world.handle(
+        EndpointListUpdate(
+            ListUpdateKind.FULL, (endpoint_entry(1, started_ns=world.now_ns), endpoint_entry(2))
+        )
+    )
+    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(8)} == {2}
     assert world.balancer.excluded_count() == 1
 
 
 @pytest.mark.parametrize("list_change", ["nothing", "a start", "a start later"])
 def test_endpoint_whose_ban_is_lifted_is_warming_up_and_gets_the_first_connection(list_change: str) -> None:
-    world = Driver(PLAIN, line(1), line(2, zone=1))
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2, zone=1))
     for server in (1, 2):
-        world.report(server, 0.5, 4.0)
-    world.give(EndpointBanChanged(2, True, world.now))
-    world.run(3 * S)
-    started_ns = world.now
+        world.report_load(server, 0.5, 4.0)
+    world.handle(EndpointBanChanged(2, True, world.now_ns))
+    world.advance(3 * S)
+    started_ns = world.now_ns
     if list_change == "a start":
-        world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(2, zone=1, started_ns=started_ns),)))
-    world.run(4 * S)
-    world.give(EndpointBanChanged(2, False, 0))
-    lifted_ns = world.now
-    assert world.open().endpoint == 2
-    assert world.open().endpoint == 1  # one is enough to show that it is back
+        world.handle(
+            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2, zone=1, started_ns=started_ns),))
+        )
+    world.advance(4 * S)
+    world.handle(EndpointBanChanged(2, False, 0))
+    lifted_ns = world.now_ns
+    assert world.establish_request().endpoint == 2
+    assert world.establish_request().endpoint == 1  # one is enough to show that it is back
     if list_change == "a start later":
-        world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(2, zone=1, started_ns=started_ns),)))
+        world.handle(
+            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2, zone=1, started_ns=started_ns),))
+        )
     assert world.balancer.state.endpoints[2].warming_since_ns == (
         lifted_ns if list_change == "nothing" else started_ns
     )
 
 
 def test_ban_of_an_unlisted_endpoint_holds_once_it_is_listed() -> None:
-    world = Driver(PLAIN, line(1))
-    world.give(EndpointBanChanged(3, True, world.now))
-    world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(3),)))
-    assert {only(world.ask(), StartAttempt).endpoint for _ in range(8)} == {1}
-    world.give(EndpointBanChanged(3, False, 0))
-    assert only(world.ask(), StartAttempt).endpoint == 3
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1))
+    world.handle(EndpointBanChanged(3, True, world.now_ns))
+    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(3),)))
+    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(8)} == {1}
+    world.handle(EndpointBanChanged(3, False, 0))
+    assert single_action(world.send_request(), StartAttempt).endpoint == 3
 
 
 def test_restarted_endpoint_keeps_its_learned_capacity() -> None:
     """Guards against an endpoint that is limited to a dozen connections until its reports show more."""
-    world = Driver(PLAIN, line(1), line(2))
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
     for _ in range(12):
-        world.open()
+        world.establish_request()
     for number, held in ((1, 80.0), (2, 5.0)):
-        world.report(number, 0.5, held)
-    world.run(S)
+        world.report_load(number, 0.5, held)
+    world.advance(S)
     servers = world.balancer.state.endpoints
     for number, fills in ((1, 160.0), (2, 0.0)):
-        world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(number, started_ns=world.now),)))
+        world.handle(
+            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(number, started_ns=world.now_ns),))
+        )
         assert (
             servers[number].reported_load,
             servers[number].reported_connections,
             servers[number].connection_capacity,
         ) == (None, 0.0, fills)
-    world.run(10 * S)  # 0.6 of its capacity; 160 over 20 s, three times, with a margin; half a second's worth
+    # 0.6 of its capacity; 160 over 20 s, three times, with a margin; half a second's worth.
+    world.advance(10 * S)
     rate = 160 / 20 * 0.6 * 3 * 0.6
     assert world.balancer.slow_start.has_capacity(servers[1])
     assert 4 <= servers[1].admission_tokens <= 0.5 * rate + 1
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 import msgspec
 import orjson
 import pytest
-from standins import ROOT
+from stand_ins import ROOT
 
 from puffinpost.config import schema
 from puffinpost.observability import log
--- a/tests/test_cluster_off.py
+++ b/tests/test_cluster_off.py
@@ -9,8 +9,8 @@
 
 import pytest
 from click.testing import CliRunner
-from conftest import World
-from standins import ROOT
+from conftest import Deployment
+from stand_ins import ROOT
 
 from puffinpost.cli.main import puffinpost
 from puffinpost.config import schema
@@ -28,13 +28,13 @@
 )
 
 
-def test_a_node_without_a_cluster_loads_none_of_it_and_has_one_thread(world: World) -> None:
+def test_a_node_without_a_cluster_loads_none_of_it_and_has_one_thread(deployment: Deployment) -> None:
     told = "import sys, puffinpost.runtime.node_process, puffinpost.config; print(*sys.modules)"
     loaded = subprocess.check_output([sys.executable, "-c", told], cwd=ROOT, text=True).split()
     assert "puffinpost.proxy.coordinator" in loaded and not [
         name for name in loaded if name.startswith(CLUSTER_PACKAGES)
     ]
-    node = world.start()
+    node = deployment.start()
     assert len(list(Path(f"/proc/{node.process.pid}/task").iterdir())) == 1
 
 
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from standins import ROOT
+from stand_ins import ROOT
 
 from puffinpost.cluster.consensus_store import CHECKSUM_SIZE, ConsensusStore, StoreError, Transaction
 from puffinpost.consensus.documents import Document
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,8 +9,8 @@
 import time
 
 import pytest
-from conftest import World
-from standins import ROOT, Node, answer_of
+from conftest import Deployment
+from stand_ins import ROOT, NodeProcess, read_http_response
 from test_node import OPEN, fresh, served
 
 COUNTS = [
@@ -45,99 +45,99 @@
 )
 @pytest.mark.parametrize("step", [1, 100_000])
 def test_admin_request_is_answered_however_it_is_fragmented(
-    world: World, sent: bytes, status: int, step: int
+    deployment: Deployment, sent: bytes, status: int, step: int
 ) -> None:
-    node = world.start()
-    world.discovery.wait_calls(2)  # the whole list, and the watch that goes on from there
-    caller = node.client(b"", node.console)
+    node = deployment.start()
+    deployment.discovery.wait_for_polls(2)  # the whole list, and the watch that goes on from there
+    caller = node.connect(b"", node.admin_port)
     step = max(step, len(sent) // 100)
     for at in range(0, len(sent), step):
         caller.send(sent[at : at + step])
-    answered_status, body = answer_of(caller)
+    answered_status, body = read_http_response(caller)
     assert answered_status == status and bool(body) != sent.startswith(b"HEAD")
 
 
-def test_ready_once_endpoint_list_is_current_and_not_while_draining(world: World) -> None:
-    world.discovery.form = "503"
-    node = world.start()
-    world.discovery.wait_calls(1)
-    assert node.call("GET", "/ready")[0] == 503
-    world.discovery.form = ""
+def test_ready_once_endpoint_list_is_current_and_not_while_draining(deployment: Deployment) -> None:
+    deployment.discovery.reply_format = "503"
+    node = deployment.start()
+    deployment.discovery.wait_for_polls(1)
+    assert node.request_admin("GET", "/ready")[0] == 503
+    deployment.discovery.reply_format = ""
     until = time.monotonic() + 10
-    while node.call("GET", "/ready")[0] != 200:
+    while node.request_admin("GET", "/ready")[0] != 200:
         assert time.monotonic() < until
         time.sleep(0.01)
-    client = node.client(fresh(OPEN % 3000))
-    upstream = served(world, client)
+    client = node.connect(fresh(OPEN % 3000))
+    upstream = served(deployment, client)
     node.process.terminate()
-    while node.call("GET", "/ready")[0] != 503:
+    while node.request_admin("GET", "/ready")[0] != 503:
         assert time.monotonic() < until
         time.sleep(0.01)
-    assert upstream.ending() == "end" and node.process.wait(10) == 0
+    assert upstream.wait_for_close() == "end" and node.process.wait(10) == 0
 
 
-def test_metrics_start_at_zero_and_count_each_outcome(world: World) -> None:
-    node = world.start()
-    first = node.figures()
+def test_metrics_start_at_zero_and_count_each_outcome(deployment: Deployment) -> None:
+    node = deployment.start()
+    first = node.read_metrics()
     assert list(first)[:6] == COUNTS and all(first[name] == 0 for name in COUNTS)
     assert {first[name] for name in ("relayed", "cfg_accepted", "cfg_invalid", "open_requests")} == {0}
     assert first["registry_entries"] == 2 and first["out_of_rotation"] == 0
-    clients = [node.client(fresh(OPEN % 3000)) for _ in range(2)]
-    upstreams = [served(world, client) for client in clients[:1]]
-    refused = node.client(fresh(OPEN % 3000).replace(b"live-text", b"once"))
-    node.figure("relayed", 3)
-    after = node.figures()
+    clients = [node.connect(fresh(OPEN % 3000)) for _ in range(2)]
+    upstreams = [served(deployment, client) for client in clients[:1]]
+    refused = node.connect(fresh(OPEN % 3000).replace(b"live-text", b"once"))
+    node.wait_for_metric("relayed", 3)
+    after = node.read_metrics()
     assert after["open_requests"] == 3 and after["operations.live-text.fulfilled"] == 1
-    for server in world.servers:
-        while server.asked():
+    for server in deployment.endpoints:
+        while server.has_pending_connection():
             upstream = server.accept()
-            line = upstream.line()
+            line = upstream.read_line()
             upstream.send(b"ERR\r\n" if b"once" in line else b"UP 1\r\n")
             upstreams.append(upstream)
-    assert clients[1].line() == b"UP 1\r\n" and refused.line() == b"ERR\r\n"
+    assert clients[1].read_line() == b"UP 1\r\n" and refused.read_line() == b"ERR\r\n"
     clients[0].close()
-    node.figure("open_requests", 1)
-    assert [node.figures()[name] for name in COUNTS] == [2, 0, 0, 0, 0, 1]
-    world.discovery.tell("s-0", world.servers[0].address, "draining")
-    node.figure("out_of_rotation", 1)
-    world.discovery.tell("s-0", world.servers[0].address, "removed")
-    node.figure("registry_entries", 1)
-    assert node.figures()["out_of_rotation"] == 0
+    node.wait_for_metric("open_requests", 1)
+    assert [node.read_metrics()[name] for name in COUNTS] == [2, 0, 0, 0, 0, 1]
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "draining")
+    node.wait_for_metric("out_of_rotation", 1)
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "removed")
+    node.wait_for_metric("registry_entries", 1)
+    assert node.read_metrics()["out_of_rotation"] == 0
 
 
-def test_reloads_are_counted_as_accepted_or_invalid(world: World) -> None:
-    node = world.start()
+def test_reloads_are_counted_as_accepted_or_invalid(deployment: Deployment) -> None:
+    node = deployment.start()
     node.reload()
     node.reload("{")
-    assert [node.figures()[name] for name in ("cfg_accepted", "cfg_invalid")] == [1, 1]
+    assert [node.read_metrics()[name] for name in ("cfg_accepted", "cfg_invalid")] == [1, 1]
 
 
-def test_incomplete_admin_requests_displace_neither_complete_ones_nor_clients(world: World) -> None:
-    node = world.start(sockets=64)
-    half = [node.client(b"GET /metrics HT", node.console) for _ in range(100)]
-    mute = [node.client() for _ in range(100)]
+def test_incomplete_admin_requests_displace_neither_complete_ones_nor_clients(deployment: Deployment) -> None:
+    node = deployment.start(sockets=64)
+    half = [node.connect(b"GET /metrics HT", node.admin_port) for _ in range(100)]
+    mute = [node.connect() for _ in range(100)]
     for _ in range(20):
         began = time.monotonic()
-        assert node.call("GET", "/metrics")[0] == 200
+        assert node.request_admin("GET", "/metrics")[0] == 200
         assert time.monotonic() - began < 1
-    client = node.client(fresh(OPEN % 3000))
-    upstream = served(world, client)
+    client = node.connect(fresh(OPEN % 3000))
+    upstream = served(deployment, client)
     assert half and mute and node.process.poll() is None and upstream
 
 
-def test_inherited_listening_socket_is_adopted_and_outlives_the_node(world: World) -> None:
+def test_inherited_listening_socket_is_adopted_and_outlives_the_node(deployment: Deployment) -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=64) as held:
-        node = world.start(inherited=held)
-        client = node.client(fresh(OPEN % 3000))
-        upstream = served(world, client)
-        assert node.stop() == 0 and upstream.ending() == "end"
-        late = node.client(b"PING\r\n")  # it is not refused: it waits for the next process
-        again: Node = world.start(inherited=held)
-        assert late.line() == b"PONG\r\n" and again.process.poll() is None
+        node = deployment.start(inherited_listener=held)
+        client = node.connect(fresh(OPEN % 3000))
+        upstream = served(deployment, client)
+        assert node.stop() == 0 and upstream.wait_for_close() == "end"
+        late = node.connect(b"PING\r\n")  # it is not refused: it waits for the next process
+        again: NodeProcess = deployment.start(inherited_listener=held)
+        assert late.read_line() == b"PONG\r\n" and again.process.poll() is None
 
 
-def test_inherited_descriptor_that_is_no_socket_is_a_config_error(world: World) -> None:
-    node = world.start()
+def test_inherited_descriptor_that_is_no_socket_is_a_config_error(deployment: Deployment) -> None:
+    node = deployment.start()
     run = subprocess.run(
         [sys.executable, "-m", "puffinpost"],
         cwd=ROOT,
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from standins import SETTINGS
+from stand_ins import SETTINGS
 
 from puffinpost.balancing.actions import Action, StartAttempt
 from puffinpost.balancing.events import (
--- a/tests/test_delays.py
+++ b/tests/test_delays.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from world import MS, PLAIN, Driver, S, line, of
+from balancer_harness import BALANCER_SETTINGS, MS, BalancerHarness, S, actions_of_type, endpoint_entry
 
 from puffinpost.balancing.actions import Action, Migrate
 from puffinpost.balancing.events import DelayReported, EndpointListUpdate, ListUpdateKind
@@ -83,37 +83,41 @@
     assert delay.excess_fraction(0.7, 2 * S) == 0.0
 
 
-def slow(world: Driver, server: int, first: int, step: int, notes: int = 2) -> list[Action]:
+def slow(world: BalancerHarness, server: int, first: int, step: int, notes: int = 2) -> list[Action]:
     """A server's delay notes, once a second."""
     got: list[Action] = []
     for number in range(notes):
-        world.run(S)
-        got += world.give(DelayReported(1, server, (first + step * number) * MS))
+        world.advance(S)
+        got += world.handle(DelayReported(1, server, (first + step * number) * MS))
     return got
 
 
 def test_nothing_is_placed_where_messages_miss_their_aim_until_it_is_well() -> None:
-    world = Driver(PLAIN, line(1), line(2))
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
     slow(world, 1, 100, 0)
-    assert {world.open().endpoint for _ in range(4)} == {2}
-    world.give(DelayReported(1, 1, 15 * MS))
-    assert 1 in {world.open().endpoint for _ in range(8)}
+    assert {world.establish_request().endpoint for _ in range(4)} == {2}
+    world.handle(DelayReported(1, 1, 15 * MS))
+    assert 1 in {world.establish_request().endpoint for _ in range(8)}
 
 
 def test_what_is_too_much_moves_away_over_the_fleet_each_node_its_part() -> None:
     """Forty nodes hold one or two connections each at a server of load 1.5: about half of all move."""
     moved = held = 0
     for seed in range(40):
-        world = Driver(PLAIN, line(1), seed=seed)
+        world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), seed=seed)
         for _ in range(1 + seed % 2):
-            world.open()
+            world.establish_request()
             held += 1
-        moved += len(of(slow(world, 1, 1000, 500), Migrate))
+        moved += len(actions_of_type(slow(world, 1, 1000, 500), Migrate))
     assert held == 60 and 0.35 <= moved / held <= 0.75
 
 
 def test_a_restart_clears_what_the_old_process_was_noted_for() -> None:
-    world = Driver(PLAIN, line(1), line(2))
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
     slow(world, 1, 100, 0)
-    world.give(EndpointListUpdate(ListUpdateKind.FULL, (line(1, started_ns=world.now), line(2))))
-    assert not world.balancer.state.endpoints[1].latency.exceeds(100 * MS, world.now)
+    world.handle(
+        EndpointListUpdate(
+            ListUpdateKind.FULL, (endpoint_entry(1, started_ns=world.now_ns), endpoint_entry(2))
+        )
+    )
+    assert not world.balancer.state.endpoints[1].latency.exceeds(100 * MS, world.now_ns)
--- a/tests/test_drain_rule.py
+++ b/tests/test_drain_rule.py
@@ -14,11 +14,11 @@
 from dataclasses import replace
 
 import pytest
-from conftest import World
-from standins import SETTINGS, Discovery, Node, Peer, Server
+from balancer_harness import BALANCER_SETTINGS
+from conftest import Deployment
+from stand_ins import SETTINGS, NodeProcess, SocketPeer, StandInDiscovery, StandInEndpoint
 from test_node import OPEN, first_of, fresh
 from test_reload import is_migrated
-from world import PLAIN
 
 from puffinpost.balancing.poll_schedule import PollSchedule
 from puffinpost.discovery.endpoint_list import EndpointList
@@ -216,7 +216,7 @@
 
 def watch_state(nodes: int, ask_within_ns: int = 10 * S) -> WatchState:
     settings = replace(
-        PLAIN, balancer_count=nodes, poll_within_ns=ask_within_ns, endpoint_list_is_polled=True
+        BALANCER_SETTINGS, balancer_count=nodes, poll_within_ns=ask_within_ns, endpoint_list_is_polled=True
     )
     return WatchState(PollSchedule(settings, random.Random(1)), has_known_list=True)
 
@@ -285,7 +285,7 @@
 
 def test_the_waits_of_a_fleet_do_not_end_at_the_same_time() -> None:
     """All watches are answered in one moment, and may fall silent in one."""
-    settings = replace(PLAIN, balancer_count=200)
+    settings = replace(BALANCER_SETTINGS, balancer_count=200)
     machines = [WatchState(PollSchedule(settings, random.Random(seed)), True) for seed in range(200)]
     assert all(machine.on_answer(True, MS, 0) == 0 for machine in machines)
     waits = [machine.next_call(7, 0).wait_ms for machine in machines]
@@ -453,16 +453,16 @@
     assert {"old", "new", "old left"} <= set(asyncio.run(asyncio.wait_for(play(), 10)))
 
 
-def test_pushed_lists_are_polled_from_the_local_agent(world: World) -> None:
+def test_pushed_lists_are_polled_from_the_local_agent(deployment: Deployment) -> None:
     """Where settings say so the decisions wait for lists to come; on sockets somebody has to fetch them."""
-    node = world.start(settings={"Discovery": "pushed"})
-    client = node.client(fresh(OPEN % 3000))
-    server, relay = first_of(world.servers)
-    relay.line()
+    node = deployment.start(settings={"Discovery": "pushed"})
+    client = node.connect(fresh(OPEN % 3000))
+    server, relay = first_of(deployment.endpoints)
+    relay.read_line()
     relay.send(b"UP 1\r\n")
-    assert client.line() == b"UP 1\r\n"
-    assert isinstance(server, Server) and SETTINGS["Discovery"] == "on_request"
-    world.discovery.tell(f"s-{world.servers.index(server)}", server.address, "draining")
+    assert client.read_line() == b"UP 1\r\n"
+    assert isinstance(server, StandInEndpoint) and SETTINGS["Discovery"] == "on_request"
+    deployment.discovery.set_endpoint(f"s-{deployment.endpoints.index(server)}", server.address, "draining")
     assert is_migrated(client)
 
 
@@ -478,15 +478,15 @@
         self.saw("call_received", 1, A_WATCH)
 
 
-class Recorded(Discovery):
+class Recorded(StandInDiscovery):
     """A discovery and two transcribers that tell the rule what they saw of one real process."""
 
     def __init__(self) -> None:
         self.rule, self.lock = started_rule(), threading.Lock()
-        self.names = {f"s-{number}": Server() for number in range(2)}
-        self.kept: list[Peer] = []
+        self.names = {f"s-{number}": StandInEndpoint() for number in range(2)}
+        self.kept: list[SocketPeer] = []
         super().__init__()
-        self.asked = Calls(self.saw)
+        self.polled_versions = Calls(self.saw)
         for name, server in self.names.items():
             threading.Thread(target=self.take, args=(name, server), daemon=True).start()
 
@@ -496,21 +496,21 @@
 
     def put(self, name: str, status: str) -> None:
         self.saw("endpoint_changed", name, status == "up")
-        self.tell(name, self.names[name].address, status)
+        self.set_endpoint(name, self.names[name].address, status)
 
-    def reply(self, body: bytes) -> list[bytes]:
+    def encode_reply(self, body: bytes) -> list[bytes]:
         with self.lock:
             known = self.rule.changes[-1].number if self.rule.changes else 0
             self.rule.answer_written(1, known, time.monotonic_ns())
-        return super().reply(body)
+        return super().encode_reply(body)
 
-    def take(self, name: str, server: Server) -> None:
+    def take(self, name: str, server: StandInEndpoint) -> None:
         with contextlib.suppress(OSError):  # the listener is closed
             while True:
                 self.kept.append(peer := server.accept())
                 # A relay that turns out moot while it dials ends without a line.
                 with contextlib.suppress(EOFError, OSError):
-                    peer.line()
+                    peer.read_line()
                     self.saw("request_sent", 1, name)
                     peer.send(b"UP 1\r\n")
 
@@ -524,18 +524,20 @@
 
 @pytest.mark.parametrize("planted", [False, True])
 def test_a_real_process_keeps_the_drain_rule_and_a_planted_pause_is_detected(
-    world: World, planted: bool
+    deployment: Deployment, planted: bool
 ) -> None:
     discovery = Recorded()
-    world.discovery = discovery
+    deployment.discovery = discovery
     for name in discovery.names:
         discovery.put(name, "up")
         socket.create_connection(("127.0.0.1", discovery.names[name].port)).close()
     run = f"exec {sys.executable} -c {shlex.quote(REST)}" if planted else ""
     rules = {**SETTINGS["Rules"], "AskWithinNs": 10 * S}
-    node = Node(world.folder, discovery, settings={"FleetSize": 21, "Rules": rules}, run=run)
-    world.nodes.append(node)
-    discovery.wait_calls(1)
+    node = NodeProcess(
+        deployment.folder, discovery, settings={"FleetSize": 21, "Rules": rules}, shell_command=run
+    )
+    deployment.nodes.append(node)
+    discovery.wait_for_polls(1)
     clients = []
     for turn in range(6):
         leaves, stays = ("s-0", "s-1") if turn % 2 else ("s-1", "s-0")
@@ -543,7 +545,7 @@
         time.sleep(0.05)  # the next change comes just after the answer that this one makes
         discovery.put(leaves, "draining")
         for _ in range(24):
-            clients.append(node.client(fresh(OPEN % 500)))
+            clients.append(node.connect(fresh(OPEN % 500)))
             time.sleep(0.03)
     assert discovery.rule.requests_sent > 60
     assert (discovery.rule.violations != []) is planted, discovery.rule.violations
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-from conftest import World
-from standins import Server
+from conftest import Deployment
+from stand_ins import StandInEndpoint
 from test_endings import have_no_attempts, wait_for_list
 from test_node import OPEN, fresh
 from test_reload import is_migrated
@@ -81,35 +81,35 @@
 
 
 @pytest.mark.parametrize("fault", ["status", "address", "start"])
-def test_a_drain_beside_an_invalid_entry_is_applied(world: World, fault: str) -> None:
+def test_a_drain_beside_an_invalid_entry_is_applied(deployment: Deployment, fault: str) -> None:
     """The client of the draining endpoint is migrated; new ones go to the valid one."""
-    first, spare = world.servers
-    node = world.start(transcribers=1)
-    wait_for_list(world.discovery)
-    client = node.client(fresh(OPEN % 3000))
+    first, spare = deployment.endpoints
+    node = deployment.start(endpoint_count=1)
+    wait_for_list(deployment.discovery)
+    client = node.connect(fresh(OPEN % 3000))
     attempt = first.accept()
-    attempt.line()
+    attempt.read_line()
     attempt.send(b"UP 1\r\n")
-    assert client.line() == b"UP 1\r\n"
-    bad, kept = Server(), []
-    with world.discovery.changed:
-        world.discovery.tell("s-1", spare.address)
-        world.discovery.tell("s-2", **{"address": bad.address, **INVALID_FIELDS[fault]})
-        world.discovery.tell("s-0", first.address, "draining")
-    wait_for_list(world.discovery)
+    assert client.read_line() == b"UP 1\r\n"
+    bad, kept = StandInEndpoint(), []
+    with deployment.discovery.changed:
+        deployment.discovery.set_endpoint("s-1", spare.address)
+        deployment.discovery.set_endpoint("s-2", **{"address": bad.address, **INVALID_FIELDS[fault]})
+        deployment.discovery.set_endpoint("s-0", first.address, "draining")
+    wait_for_list(deployment.discovery)
     assert is_migrated(client)
     for _ in range(3):
-        other = node.client(fresh(OPEN % 3000))
+        other = node.connect(fresh(OPEN % 3000))
         kept.append(spare.accept())
-        kept[-1].line()
+        kept[-1].read_line()
         kept[-1].send(b"UP 2\r\n")
-        assert other.line() == b"UP 2\r\n"
+        assert other.read_line() == b"UP 2\r\n"
     assert have_no_attempts(first, bad)
     assert (
-        node.counts()["entries_spoilt"] >= 1
-        and "endpoint list: 1 invalid entries, the first: " in node.log.read_text()
+        node.read_counters()["entries_spoilt"] >= 1
+        and "endpoint list: 1 invalid entries, the first: " in node.log_path.read_text()
     )
-    assert "s-2" in node.log.read_text()
+    assert "s-2" in node.log_path.read_text()
 
 
 def test_ids_depend_on_the_name_alone_and_are_unique() -> None:
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from world import MS, PLAIN, Driver, S, line, of
+from balancer_harness import BALANCER_SETTINGS, MS, BalancerHarness, S, actions_of_type, endpoint_entry
 
 from puffinpost.balancing.actions import Migrate, PollEndpointList
 from puffinpost.balancing.draining import mean_load_after_drain
@@ -25,7 +25,7 @@
 
 NODES = 40
 SETTINGS = replace(
-    PLAIN,
+    BALANCER_SETTINGS,
     balancer_count=NODES,
     zone_count=1,
     warmup_initial_capacity=0.35,
@@ -39,29 +39,32 @@
 )
 
 
-def fleet(seed: int, *lines: EndpointEntry) -> list[Driver]:
+def fleet(seed: int, *lines: EndpointEntry) -> list[BalancerHarness]:
     return [
-        Driver(replace(SETTINGS, balancer_index=me), *lines, seed=1000 * seed + me) for me in range(NODES)
+        BalancerHarness(replace(SETTINGS, balancer_index=me), *lines, seed=1000 * seed + me)
+        for me in range(NODES)
     ]
 
 
-def held(node: Driver, server: int, count: int) -> None:
+def held(node: BalancerHarness, server: int, count: int) -> None:
     """Connections of a node's at a server, as if they had been there before."""
     for _ in range(count):
-        node.last = node.next
-        node.next += 1
-        node.give(ConnectionAdopted(RequestReceived(node.last, 0, node.now + 4 * S), server))
+        node.last_request = node.next_request
+        node.next_request += 1
+        node.handle(ConnectionAdopted(RequestReceived(node.last_request, 0, node.now_ns + 4 * S), server))
 
 
 def drained(seed: int, load_there: float, load_here: float) -> list[int]:
     """Moves of the fleet in each 100 ms after a drain, by the loads of the one that drains and the other."""
-    nodes = fleet(seed, line(1), line(2))
+    nodes = fleet(seed, endpoint_entry(1), endpoint_entry(2))
     for number, node in enumerate(nodes):
         held(node, 1, 1 + number % 2)
-        node.report(1, load_there, 60.0)
-        node.report(2, load_here, 60.0)
-        node.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, status=EndpointStatus.DRAINING),)))
-    return [sum(len(of(node.run(100 * MS), Migrate)) for node in nodes) for _ in range(60)]
+        node.report_load(1, load_there, 60.0)
+        node.report_load(2, load_here, 60.0)
+        node.handle(
+            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, status=EndpointStatus.DRAINING),))
+        )
+    return [sum(len(actions_of_type(node.advance(100 * MS), Migrate)) for node in nodes) for _ in range(60)]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
@@ -100,9 +103,13 @@
     """Forty nodes start in one moment: each asks once, evenly over what the six seconds leave."""
     settings = replace(SETTINGS, endpoint_list_is_polled=True)
     nodes = [
-        Driver(replace(settings, balancer_index=me), line(1), seed=1000 * seed + me) for me in range(NODES)
+        BalancerHarness(replace(settings, balancer_index=me), endpoint_entry(1), seed=1000 * seed + me)
+        for me in range(NODES)
+    ]
+    calls = [
+        sum(len(actions_of_type(node.advance(100 * MS), PollEndpointList)) for node in nodes)
+        for _ in range(41)
     ]
-    calls = [sum(len(of(node.run(100 * MS), PollEndpointList)) for node in nodes) for _ in range(41)]
     assert sum(calls) == sum(calls[:25]) == NODES and max(sum(calls[at : at + 10]) for at in range(32)) <= 25
     assert max(sum(calls[at : at + 5]) for at in range(37)) <= 15
 
@@ -113,7 +120,7 @@
     """A rest, then the longest wait in discovery's queue; and not at once, nor all nodes in one moment."""
     moments = []
     for seed in range(200):
-        asking = PollSchedule(replace(PLAIN, balancer_count=nodes), random.Random(seed))
+        asking = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=nodes), random.Random(seed))
         asking.consecutive_failures = fails
         asking.on_failure(S)
         assert asking.next_poll_ns is not None
@@ -127,23 +134,25 @@
 
 
 def test_a_small_fleet_shares_nothing_out() -> None:
-    asking = PollSchedule(replace(PLAIN, balancer_count=20), random.Random(1))
+    asking = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=20), random.Random(1))
     assert not asking.is_large_fleet and asking.redirect_delay_ns() == 0
-    asking = PollSchedule(replace(PLAIN, balancer_count=21), random.Random(1))
+    asking = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=21), random.Random(1))
     assert asking.is_large_fleet and len({asking.redirect_delay_ns() for _ in range(50)}) > 40
 
 
 BANNED = EndpointBanChanged(1, True, 0)
-DRAINS = EndpointListUpdate(ListUpdateKind.DELTA, (line(1, status=EndpointStatus.DRAINING), line(2)))
+DRAINS = EndpointListUpdate(
+    ListUpdateKind.DELTA, (endpoint_entry(1, status=EndpointStatus.DRAINING), endpoint_entry(2))
+)
 
 
 @pytest.mark.parametrize(("first", "then"), [(DRAINS, BANNED), (BANNED, DRAINS), (BANNED, BANNED)])
 def test_of_a_drain_and_a_ban_the_sooner_end_holds(first: Event, then: Event) -> None:
-    node = Driver(SETTINGS, line(1))
+    node = BalancerHarness(SETTINGS, endpoint_entry(1))
     held(node, 1, 200)
-    node.give(first)
-    moved = len(of(node.run(S), Migrate))
+    node.handle(first)
+    moved = len(actions_of_type(node.advance(S), Migrate))
     assert (moved == 0) if first is DRAINS else (20 <= moved < 200)
-    node.give(then)
+    node.handle(then)
     by = 2400 * MS if then is BANNED and first is DRAINS else 1400 * MS
-    assert moved + len(of(node.run(by + 50 * MS), Migrate)) == 200
+    assert moved + len(actions_of_type(node.advance(by + 50 * MS), Migrate)) == 200
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 
 import pytest
-from conftest import World
-from standins import ROOT, WAIT_S, Node, Peer
+from conftest import Deployment
+from stand_ins import ROOT, WAIT_TIMEOUT_S, NodeProcess, SocketPeer
 
 from puffinpost.config.node import handover_folder
 from puffinpost.net.event_loop import PipeEventLoop
@@ -31,11 +31,11 @@
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 
 
-def _audited(world: World, tmp_path: Path) -> tuple[Node, Path]:
+def _audited(deployment: Deployment, tmp_path: Path) -> tuple[NodeProcess, Path]:
     records = tmp_path / "audit.jsonl"
-    node = world.start(
-        run=RUN,
-        environ_more={
+    node = deployment.start(
+        shell_command=RUN,
+        extra_environ={
             "PYTHONPATH": str(ROOT / "tests" / "data" / "fleet_audit"),
             "PUFFINPOST_AUDIT": str(records),
         },
@@ -63,29 +63,29 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def _serve_one(world: World, node: Node) -> None:
-    client = node.client(OPEN)
-    sockets = [server.socket for server in world.servers]
-    ready = select.select(sockets, [], [], WAIT_S)[0]  # whichever transcriber the upstream comes to
+def _serve_one(deployment: Deployment, node: NodeProcess) -> None:
+    client = node.connect(OPEN)
+    sockets = [server.socket for server in deployment.endpoints]
+    ready = select.select(sockets, [], [], WAIT_TIMEOUT_S)[0]  # whichever transcriber the upstream comes to
     assert ready, "no upstream came"
-    upstream: Peer = next(server for server in world.servers if server.socket in ready).accept()
-    assert upstream.line().startswith(b"OPEN ")
+    upstream: SocketPeer = next(server for server in deployment.endpoints if server.socket in ready).accept()
+    assert upstream.read_line().startswith(b"OPEN ")
     upstream.send(b"UP 77\r\n")
-    assert client.line() == b"UP 77\r\n"
+    assert client.read_line() == b"UP 77\r\n"
     upstream.send(b"DONE\r\n")
     client.close()
 
 
-def test_run_is_one_process_with_tcp_over_ipv4_only(world: World, tmp_path: Path) -> None:
-    node, records = _audited(world, tmp_path)
+def test_run_is_one_process_with_tcp_over_ipv4_only(deployment: Deployment, tmp_path: Path) -> None:
+    node, records = _audited(deployment, tmp_path)
     pid = node.process.pid
     # `exec`: the shell that the platform starts has become the node, and has no child.
     assert "python" in Path(f"/proc/{pid}/exe").readlink().name
     assert all(not (task / "children").read_text().split() for task in Path(f"/proc/{pid}/task").iterdir())
     assert "libc.so" in Path(f"/proc/{pid}/maps").read_text()  # linked dynamically against the C library
-    _serve_one(world, node)
+    _serve_one(deployment, node)
     node.reload()
-    _serve_one(world, node)
+    _serve_one(deployment, node)
     assert not _socket_inodes(pid) & _unix_inodes()  # no Unix socket is held, whoever made it
     assert not list(node.folder.glob("*.sock"))  # nor bound in $TMPDIR: no process is beside it
     assert node.stop() == 0
@@ -96,9 +96,9 @@
     assert not [record for record in told if record["what"] in ("start", "refused")]
 
 
-def test_idle_node_does_not_spin(world: World, tmp_path: Path) -> None:
-    node, _ = _audited(world, tmp_path)
-    node.ready()
+def test_idle_node_does_not_spin(deployment: Deployment, tmp_path: Path) -> None:
+    node, _ = _audited(deployment, tmp_path)
+    node.wait_until_ready()
     before, began = _cpu_s(node.process.pid), time.monotonic()
     time.sleep(1.5)  # timers are pending all along: the bans file, the watch of discovery, the places
     share = (_cpu_s(node.process.pid) - before) / (time.monotonic() - began)
@@ -122,9 +122,9 @@
         # The loop sleeps in its selector for up to an hour here; only the pipe can wake it in time.
         loop.call_later(3600, lambda: None)
         threading.Thread(target=lambda: loop.call_soon_threadsafe(done.set_result, "thread")).start()
-        seen.append(await asyncio.wait_for(done, WAIT_S))
+        seen.append(await asyncio.wait_for(done, WAIT_TIMEOUT_S))
         os.kill(os.getpid(), signal.SIGUSR2)
-        until = loop.time() + WAIT_S
+        until = loop.time() + WAIT_TIMEOUT_S
         while "signal" not in seen and loop.time() < until:
             await asyncio.sleep(0.01)
         loop.remove_signal_handler(signal.SIGUSR2)
@@ -136,11 +136,11 @@
 
 
 @pytest.mark.parametrize("form", ["text", "json"])
-def test_trace_follows_one_request_by_its_id(world: World, form: str) -> None:
-    node = world.start(edge=f'[log]\ntrace = true\nformat = "{form}"\n')
-    _serve_one(world, node)
-    node.wait_log("AttemptEnded", 1)
-    said = node.log.read_text().splitlines()
+def test_trace_follows_one_request_by_its_id(deployment: Deployment, form: str) -> None:
+    node = deployment.start(edge=f'[log]\ntrace = true\nformat = "{form}"\n')
+    _serve_one(deployment, node)
+    node.wait_for_log("AttemptEnded", 1)
+    said = node.log_path.read_text().splitlines()
     if form == "json":  # each line is an object, the trace's too
         said = ["puffinpost: " + json.loads(line)["event"] for line in said]
     lines = [line for line in said if re.search(r"trace ms=\d+ n=", line)]
@@ -154,8 +154,8 @@
     assert node.stop() == 0
 
 
-def test_nothing_is_traced_by_default(world: World) -> None:
-    node = world.start()
-    _serve_one(world, node)
+def test_nothing_is_traced_by_default(deployment: Deployment) -> None:
+    node = deployment.start()
+    _serve_one(deployment, node)
     assert node.stop() == 0
-    assert "trace " not in node.log.read_text()
+    assert "trace " not in node.log_path.read_text()
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -7,15 +7,15 @@
 import time
 
 import pytest
-from conftest import World
-from standins import WAIT_S, Peer, Server
+from conftest import Deployment
+from stand_ins import WAIT_TIMEOUT_S, SocketPeer, StandInEndpoint
 from test_node import OPEN, fresh, served
 
 
 class Collector:
     """Decodes IPFIX as RFC 7011 has it, by the templates that it is sent."""
 
-    def __init__(self, peer: Peer) -> None:
+    def __init__(self, peer: SocketPeer) -> None:
         self.peer = peer
         self.templates: dict[int, list[tuple[int, int, int]]] = {}
         self.sequence = 0
@@ -73,66 +73,66 @@
     return f'[ipfix]\ncollector = "{address}"\nobservation_domain = 7\n'
 
 
-def finish(world: World, client: Peer, back: bytes = b"") -> None:
-    relay = served(world, client)
+def finish(deployment: Deployment, client: SocketPeer, back: bytes = b"") -> None:
+    relay = served(deployment, client)
     client.send(b"123456\r\n")
-    assert relay.line() == b"123456\r\n"
+    assert relay.read_line() == b"123456\r\n"
     relay.send(back + b"BYE\r\n")
     relay.close()
-    client.ending()
+    client.wait_for_close()
 
 
-def test_each_completed_connection_is_one_record(world: World) -> None:
-    server = Server()
-    node = world.start(transcribers=1, edge=edge(server.address))
+def test_each_completed_connection_is_one_record(deployment: Deployment) -> None:
+    server = StandInEndpoint()
+    node = deployment.start(endpoint_count=1, edge=edge(server.address))
     before = time.time_ns() // 1_000_000
-    client = node.client(fresh(OPEN % 3000))
+    client = node.connect(fresh(OPEN % 3000))
     source = client.socket.getsockname()
-    finish(world, client, b"abc\r\n")
-    refused = node.client(OPEN % 300)  # never stood, so it is no flow
-    relay = world.servers[0].accept()
-    relay.line()
-    assert refused.line().startswith(b"BUSY") and relay.ending() == "end"
+    finish(deployment, client, b"abc\r\n")
+    refused = node.connect(OPEN % 300)  # never stood, so it is no flow
+    relay = deployment.endpoints[0].accept()
+    relay.read_line()
+    assert refused.read_line().startswith(b"BUSY") and relay.wait_for_close() == "end"
     collector = Collector(server.accept())
     assert collector.message() == [] and set(collector.templates) == {256, 257}
     [record] = collector.message()
     assert before <= read_uint(record[0, 152]) <= read_uint(record[0, 153]) <= time.time_ns() // 1_000_000
     assert str(ipaddress.ip_address(record[0, 8])) == source[0] and read_uint(record[0, 7]) == source[1]
-    assert record[0, 12] == b"\x7f\0\0\1" and read_uint(record[0, 11]) == world.servers[0].port
+    assert record[0, 12] == b"\x7f\0\0\1" and read_uint(record[0, 11]) == deployment.endpoints[0].port
     assert read_uint(record[0, 1]) == 8 and read_uint(record[29305, 1]) == 5 + 5
     assert record[0, 96] == b"live-text" and record[0, 4] == b"\6" and record[0, 136] == b"\3"
-    finish(world, node.client(fresh(OPEN % 3000)))
+    finish(deployment, node.connect(fresh(OPEN % 3000)))
     assert len(collector.message()) == 1
     node.stop()
-    assert "flows_sent=2" in node.log.read_text()
+    assert "flows_sent=2" in node.log_path.read_text()
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_an_absent_collector_costs_only_counted_records(world: World, leaves: bool) -> None:
-    server = Server()
-    node = world.start(transcribers=1, edge=edge(server.address))
+def test_an_absent_collector_costs_only_counted_records(deployment: Deployment, leaves: bool) -> None:
+    server = StandInEndpoint()
+    node = deployment.start(endpoint_count=1, edge=edge(server.address))
     if leaves:
-        finish(world, node.client(fresh(OPEN % 3000)))
+        finish(deployment, node.connect(fresh(OPEN % 3000)))
         collector = Collector(server.accept())
         assert collector.message() == [] and len(collector.message()) == 1
         collector.peer.close("reset")
     server.socket.close()
     for _ in range(3):
-        finish(world, node.client(fresh(OPEN % 3000)))
+        finish(deployment, node.connect(fresh(OPEN % 3000)))
     assert node.stop() == 0
-    assert "flows_dropped=3" in node.log.read_text()
+    assert "flows_dropped=3" in node.log_path.read_text()
 
 
-def test_a_reconnected_collector_receives_queued_records(world: World) -> None:
-    server = Server()
-    node = world.start(transcribers=1, edge=edge(server.address))
-    finish(world, node.client(fresh(OPEN % 3000)))
+def test_a_reconnected_collector_receives_queued_records(deployment: Deployment) -> None:
+    server = StandInEndpoint()
+    node = deployment.start(endpoint_count=1, edge=edge(server.address))
+    finish(deployment, node.connect(fresh(OPEN % 3000)))
     first = Collector(server.accept())
     assert first.message() == [] and len(first.message()) == 1
     first.peer.close("reset")
-    finish(world, node.client(fresh(OPEN % 3000)))
+    finish(deployment, node.connect(fresh(OPEN % 3000)))
     again = Collector(server.accept())  # the templates come anew, and the sequence starts again
     assert again.message() == [] and len(again.message()) == 1
-    until = time.monotonic() + WAIT_S
-    while node.counts().get("flows_sent") != 2:
+    until = time.monotonic() + WAIT_TIMEOUT_S
+    while node.read_counters().get("flows_sent") != 2:
         assert time.monotonic() < until
--- a/tests/test_health_checker.py
+++ b/tests/test_health_checker.py
@@ -79,10 +79,10 @@
         probes.checker.close_unwanted(lambda server: wanted)
         peer = await asyncio.to_thread(held.accept_pending)
         if wanted:
-            assert await asyncio.to_thread(peer.line) == b"STATS\r\n"
+            assert await asyncio.to_thread(peer.read_line) == b"STATS\r\n"
             peer.send(PONG)
         else:
-            assert await asyncio.to_thread(peer.ending) == "end" and peer.buffer == b""
+            assert await asyncio.to_thread(peer.wait_for_close) == "end" and peer.buffer == b""
         return await asked
 
     assert asyncio.run(play()) is (AttemptResult.SERVED if wanted else AttemptResult.SUPERSEDED)
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -3,7 +3,17 @@
 from dataclasses import replace
 
 import pytest
-from world import MS, PLAIN, START, Driver, S, line, of, only, with_class
+from balancer_harness import (
+    BALANCER_SETTINGS,
+    MS,
+    START_NS,
+    BalancerHarness,
+    S,
+    actions_of_type,
+    endpoint_entry,
+    single_action,
+    with_request_class,
+)
 
 from puffinpost.balancing.actions import Action, Fail, Reject, StartAttempt
 from puffinpost.balancing.events import (
@@ -28,82 +38,90 @@
 
 
 def test_one_answer_at_the_deadline_of_a_silent_server() -> None:
-    world = Driver(PLAIN, line(1))
-    world.ask()
-    got = world.run(3 * S)
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1))
+    world.send_request()
+    got = world.advance(3 * S)
     assert len(answers(got)) == 1
-    assert of(got, StartAttempt) == []
-    assert world.end(world.last, 0, 1, AttemptResult.TIMEOUT) == []
+    assert actions_of_type(got, StartAttempt) == []
+    assert world.end_attempt(world.last_request, 0, 1, AttemptResult.TIMEOUT) == []
     assert world.balancer.state.requests == {}
 
 
 def test_a_failed_attempt_goes_to_another_server_until_the_cap() -> None:
-    world = Driver()
-    server = only(world.ask(), StartAttempt).endpoint
+    world = BalancerHarness()
+    server = single_action(world.send_request(), StartAttempt).endpoint
     seen = [server]
     for attempt in range(3):
-        server = only(world.end(1, attempt, server, AttemptResult.CONNECT_FAILED), StartAttempt).endpoint
+        server = single_action(
+            world.end_attempt(1, attempt, server, AttemptResult.CONNECT_FAILED), StartAttempt
+        ).endpoint
         seen.append(server)
     assert sorted(seen[:3]) == [1, 2, 3]
-    last = world.end(1, 3, server, AttemptResult.CONNECT_FAILED)
+    last = world.end_attempt(1, 3, server, AttemptResult.CONNECT_FAILED)
     assert [type(answer) for answer in answers(last)] == [Reject]
 
 
 def test_unsafe_is_not_repeated_once_it_may_have_run() -> None:
-    world = Driver(with_class(idempotency=Idempotency.NOT_IDEMPOTENT))
-    send = only(world.ask(), StartAttempt)
+    world = BalancerHarness(with_request_class(idempotency=Idempotency.NOT_IDEMPOTENT))
+    send = single_action(world.send_request(), StartAttempt)
     assert send.timeout_ns == 2 * S  # no early time-out: it could not be tried again
-    again = only(world.end(1, 0, send.endpoint, AttemptResult.REJECTED), StartAttempt)
-    assert answers(world.end(1, 1, again.endpoint, AttemptResult.RESET)) == [Fail(1)]
+    again = single_action(world.end_attempt(1, 0, send.endpoint, AttemptResult.REJECTED), StartAttempt)
+    assert answers(world.end_attempt(1, 1, again.endpoint, AttemptResult.RESET)) == [Fail(1)]
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL, DeduplicationScope.ALL])
 def test_keyed_is_repeated_within_its_group_and_window_only(scope: DeduplicationScope) -> None:
-    lines = (line(1, zone=0, cell=1), line(2, zone=0, cell=1), line(3, zone=1, cell=2))
-    world = Driver(with_class(idempotency=Idempotency.KEYED, deduplication_scope=scope), *lines)
-    first = only(world.ask(), StartAttempt).endpoint
-    world.report(3, 0.0, 0.0)  # the best score is outside the group of servers 1 and 2
-    second = of(world.end(1, 0, first, AttemptResult.ERROR), StartAttempt)
+    lines = (
+        endpoint_entry(1, zone=0, group=1),
+        endpoint_entry(2, zone=0, group=1),
+        endpoint_entry(3, zone=1, group=2),
+    )
+    world = BalancerHarness(
+        with_request_class(idempotency=Idempotency.KEYED, deduplication_scope=scope), *lines
+    )
+    first = single_action(world.send_request(), StartAttempt).endpoint
+    world.report_load(3, 0.0, 0.0)  # the best score is outside the group of servers 1 and 2
+    second = actions_of_type(world.end_attempt(1, 0, first, AttemptResult.ERROR), StartAttempt)
     if scope is not DeduplicationScope.ALL:
         assert all((send.endpoint == 3) == (first == 3) for send in second)
-    world.now += 2 * S
-    late = world.end(1, 1, second[0].endpoint, AttemptResult.ERROR) if second else []
-    assert of(late, StartAttempt) == []
+    world.now_ns += 2 * S
+    late = world.end_attempt(1, 1, second[0].endpoint, AttemptResult.ERROR) if second else []
+    assert actions_of_type(late, StartAttempt) == []
     wanted = Reject if scope is DeduplicationScope.ALL else Fail
     assert second == [] or isinstance(answers(late)[0], wanted)
 
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 def test_nothing_new_goes_to_a_server_told_down(status: EndpointStatus) -> None:
-    world = Driver(PLAIN, line(1), line(2))
-    world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(1, status=status),)))
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, status=status),)))
     for _ in range(20):
-        assert only(world.ask(), StartAttempt).endpoint == 2
+        assert single_action(world.send_request(), StartAttempt).endpoint == 2
 
 
 def test_a_server_missing_from_a_full_list_is_gone() -> None:
-    world = Driver(PLAIN, line(1), line(2))
-    world.give(EndpointListUpdate(ListUpdateKind.FULL, (line(2),)))
-    assert {only(world.ask(), StartAttempt).endpoint for _ in range(9)} == {2}
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    world.handle(EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(2),)))
+    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(9)} == {2}
 
 
 def test_nothing_to_send_to_is_held_then_refused() -> None:
-    world = Driver(PLAIN, line(1, status=EndpointStatus.DRAINING))
-    assert of(world.ask(), StartAttempt) == []
-    got = world.run(3 * S)
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1, status=EndpointStatus.DRAINING))
+    assert actions_of_type(world.send_request(), StartAttempt) == []
+    got = world.advance(3 * S)
     assert [type(answer) for answer in answers(got)] == [Reject]
     assert world.balancer.state.requests == {} and world.balancer.request_lifecycle.queue == {}
 
 
 def test_a_held_request_goes_out_when_a_server_comes() -> None:
-    world = Driver(PLAIN, line(1, status=EndpointStatus.DRAINING))
-    world.ask()
-    world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(2),)))
-    assert only(world.run(300 * MS), StartAttempt).endpoint == 2
+    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1, status=EndpointStatus.DRAINING))
+    world.send_request()
+    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2),)))
+    assert single_action(world.advance(300 * MS), StartAttempt).endpoint == 2
 
 
 def test_events_for_what_is_unknown_change_nothing() -> None:
-    world = Driver()
+    world = BalancerHarness()
     for event in (
         AttemptEstablished(99, 0, 1, MS),
         AttemptEnded(99, 0, 7, AttemptResult.TIMEOUT, False, MS),
@@ -112,26 +130,26 @@
         DelayReported(99, 7, 5),
         TimerFired(100),
         HealthCheckCompleted(7, AttemptResult.SERVED, MS, (1.0,)),
-        RequestReceived(98, 40, START + S),
+        RequestReceived(98, 40, START_NS + S),
     ):
-        assert world.give(event) == []
+        assert world.handle(event) == []
     assert world.balancer.state.requests == {}
 
 
 def test_a_client_that_leaves_is_owed_nothing() -> None:
-    world = Driver()
-    send = only(world.ask(), StartAttempt)
-    assert answers(world.give(ClientDisconnected(1))) == []
-    assert world.end(1, 0, send.endpoint, AttemptResult.TIMEOUT) == []
-    assert answers(world.run(3 * S)) == []
+    world = BalancerHarness()
+    send = single_action(world.send_request(), StartAttempt)
+    assert answers(world.handle(ClientDisconnected(1))) == []
+    assert world.end_attempt(1, 0, send.endpoint, AttemptResult.TIMEOUT) == []
+    assert answers(world.advance(3 * S)) == []
     assert world.balancer.state.requests == {}
 
 
 def test_memory_does_not_grow_with_what_is_over() -> None:
-    world = Driver()
+    world = BalancerHarness()
     for _ in range(200):
-        send = world.open()
-        world.end(world.last, 0, send.endpoint, AttemptResult.SERVED, finished=True)
+        send = world.establish_request()
+        world.end_attempt(world.last_request, 0, send.endpoint, AttemptResult.SERVED, finished=True)
     assert world.balancer.state.requests == {}
     assert all(
         not server.requests and server.local_load == 0 for server in world.balancer.state.endpoints.values()
@@ -142,15 +160,17 @@
     many = 50
     sent = 0
     for seed in range(many):
-        world = Driver(replace(PLAIN, balancer_count=many), line(1), line(2), seed=seed)
+        world = BalancerHarness(
+            replace(BALANCER_SETTINGS, balancer_count=many), endpoint_entry(1), endpoint_entry(2), seed=seed
+        )
         for server in (1, 2):
-            world.report(server, 0.5, 0.0)
+            world.report_load(server, 0.5, 0.0)
         for _ in range(3):
-            world.open()
-        world.give(EndpointListUpdate(ListUpdateKind.DELTA, (line(3, started_ns=world.now),)))
+            world.establish_request()
+        world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(3, started_ns=world.now_ns),)))
         for _ in range(40):
-            world.run(100 * MS)
-            sent += only(world.ask(), StartAttempt).endpoint == 3
+            world.advance(100 * MS)
+            sent += single_action(world.send_request(), StartAttempt).endpoint == 3
     # Connections fill one server at the number held on two half full; 1/20 of that a second fills it over its
     # warm-up. At the start it can take a fifth of that, three times over before it falls; 4 s were played.
     full = many * 43
@@ -173,4 +193,4 @@
 )
 def test_settings_that_cannot_be_right_are_named(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
-        replace(PLAIN, **{field: value})  # type: ignore[arg-type]
+        replace(BALANCER_SETTINGS, **{field: value})  # type: ignore[arg-type]
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from standins import ROOT, SETTINGS
+from stand_ins import ROOT, SETTINGS
 
 from puffinpost.cluster.frames import HEADER, FrameDecoder, FrameError, encode
 from puffinpost.cluster.links import OPERATOR_NAME
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from conftest import World
-from standins import SETTINGS, Discovery
+from conftest import Deployment
+from stand_ins import SETTINGS, StandInDiscovery
 from test_node import OPEN, fresh, served
 
 from puffinpost.config import ConfigError, load, reload
@@ -118,25 +118,25 @@
 
 
 @pytest.mark.parametrize("name", ["", "diktat-ü", "c=d", "d"])
-def test_class_of_any_name_is_served(world: World, name: str) -> None:
-    node = world.start(settings={"Classes": [{**LIVE, "Name": name}]})
+def test_class_of_any_name_is_served(deployment: Deployment, name: str) -> None:
+    node = deployment.start(settings={"Classes": [{**LIVE, "Name": name}]})
     line = fresh(OPEN % 3000).replace(b"live-text", name.encode())
-    assert served(world, node.client(line))
+    assert served(deployment, node.connect(line))
 
 
-def test_pushed_lists_are_polled_before_the_first_client(world: World) -> None:
+def test_pushed_lists_are_polled_before_the_first_client(deployment: Deployment) -> None:
     """The agent's list counts as known from a process's first moment on: `known` may be old."""
-    world.discovery.tell("s-0", world.servers[0].address)
-    old = world.discovery.told()
-    world.discovery.tell("s-0", world.servers[0].address, "draining")
-    world.discovery.told = lambda: old  # type: ignore[method-assign]
-    held = Discovery()
-    held.index, held.entries = world.discovery.index, dict(world.discovery.entries)
-    world.discovery.server, told = held.server, world.discovery.told
-    node = world.start(transcribers=0, settings={"Discovery": "pushed"})
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
+    old = deployment.discovery.snapshot()
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "draining")
+    deployment.discovery.snapshot = lambda: old  # type: ignore[method-assign]
+    held = StandInDiscovery()
+    held.index, held.entries = deployment.discovery.index, dict(deployment.discovery.entries)
+    deployment.discovery.listener, told = held.listener, deployment.discovery.snapshot
+    node = deployment.start(endpoint_count=0, settings={"Discovery": "pushed"})
     assert told()["endpoints"][0]["status"] == "up"
-    client = node.client(fresh(OPEN % 600))
-    assert client.line().startswith(b"BUSY") and not world.servers[0].asked()
+    client = node.connect(fresh(OPEN % 600))
+    assert client.read_line().startswith(b"BUSY") and not deployment.endpoints[0].has_pending_connection()
 
 
 EMPTY: dict[str, Any] = {"Dcs": [], "Kinds": [], "Tenants": [], "FamilyInfo": {}, "Report": {}, "Fees": {}}
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,78 +7,78 @@
 from typing import Any
 
 import pytest
-from conftest import World
-from standins import SETTINGS, Discovery, Node, Peer
+from conftest import Deployment
+from stand_ins import SETTINGS, NodeProcess, SocketPeer, StandInDiscovery
 from test_endings import establish_at, have_no_attempts, wait_for_list
 from test_node import OPEN, first_of, fresh, served
 
 
-def is_migrated(client: Peer) -> bool:
-    return client.line() == b"MOVE\r\n" and client.ending() == "end"
+def is_migrated(client: SocketPeer) -> bool:
+    return client.read_line() == b"MOVE\r\n" and client.wait_for_close() == "end"
 
 
-def test_a_redirect_requests_the_full_list_at_once_and_closes_the_old_watch(world: World) -> None:
+def test_a_redirect_requests_the_full_list_at_once_and_closes_the_old_watch(deployment: Deployment) -> None:
     """The new one counts from the start again, so its list is asked for whole."""
-    world.discovery.index = 40
-    node = world.start()
-    client = node.client(fresh(OPEN % 3000))
-    first, relay = first_of(world.servers)
-    relay.line()
+    deployment.discovery.index = 40
+    node = deployment.start()
+    client = node.connect(fresh(OPEN % 3000))
+    first, relay = first_of(deployment.endpoints)
+    relay.read_line()
     relay.send(b"UP 1\r\n")
-    assert client.line() == b"UP 1\r\n"
-    world.discovery.wait_calls(2)
-    old = Peer(world.discovery.links[0])
-    successor = Discovery()
-    for number, server in enumerate(world.servers):
-        successor.tell(f"s-{number}", server.address)
+    assert client.read_line() == b"UP 1\r\n"
+    deployment.discovery.wait_for_polls(2)
+    old = SocketPeer(deployment.discovery.connections[0])
+    successor = StandInDiscovery()
+    for number, server in enumerate(deployment.endpoints):
+        successor.set_endpoint(f"s-{number}", server.address)
     began = time.monotonic()
-    node.reload(discovery=successor.server.address)
-    successor.wait_calls(2)  # the whole list, and the watch that goes on from there
-    assert time.monotonic() - began < 1 and successor.asked[:2] == [-1, 2]
-    assert old.ending() == "end"
+    node.reload(discovery=successor.listener.address)
+    successor.wait_for_polls(2)  # the whole list, and the watch that goes on from there
+    assert time.monotonic() - began < 1 and successor.polled_versions[:2] == [-1, 2]
+    assert old.wait_for_close() == "end"
     node.reload()  # once more, with nothing new: the watch goes on
     client.send(b"still here\r\n")
-    assert relay.line() == b"still here\r\n"
-    calls = world.discovery.calls
-    successor.tell(f"s-{world.servers.index(first)}", first.address, "draining")
+    assert relay.read_line() == b"still here\r\n"
+    calls = deployment.discovery.poll_count
+    successor.set_endpoint(f"s-{deployment.endpoints.index(first)}", first.address, "draining")
     assert is_migrated(client)
-    assert successor.asked == [-1, 2, 3] and world.discovery.calls == calls
-    assert node.counts()["cfg_accepted"] == 2
+    assert successor.polled_versions == [-1, 2, 3] and deployment.discovery.poll_count == calls
+    assert node.read_counters()["cfg_accepted"] == 2
 
 
-def test_a_large_fleet_watches_the_new_discovery_once_the_old_watch_ends(world: World) -> None:
+def test_a_large_fleet_watches_the_new_discovery_once_the_old_watch_ends(deployment: Deployment) -> None:
     """Whole lists for 200 nodes would take it longer than the 4 s after which it counts as told."""
-    for number, server in enumerate(world.servers):
-        world.discovery.tell(f"s-{number}", server.address)
-    successor = Discovery()
-    successor.index, successor.entries = world.discovery.index, dict(world.discovery.entries)
-    node = world.start(transcribers=0, settings={"FleetSize": 200})
-    wait_for_list(world.discovery)
-    world.discovery.server.socket.close()  # it takes no new connection ...
+    for number, server in enumerate(deployment.endpoints):
+        deployment.discovery.set_endpoint(f"s-{number}", server.address)
+    successor = StandInDiscovery()
+    successor.index, successor.entries = deployment.discovery.index, dict(deployment.discovery.entries)
+    node = deployment.start(endpoint_count=0, settings={"FleetSize": 200})
+    wait_for_list(deployment.discovery)
+    deployment.discovery.listener.socket.close()  # it takes no new connection ...
     began = time.monotonic()
-    node.reload(discovery=successor.server.address)
-    Peer(world.discovery.links[-1]).close("reset")  # ... and ends the one that there is
-    successor.tell("s-0", world.servers[0].address, "draining")
-    successor.wait_calls(2)
-    assert time.monotonic() - began < 1.5 and successor.asked[:2] == [2, 3]
-    assert establish_at(node, world.servers[1], 3) and have_no_attempts(world.servers[0])
+    node.reload(discovery=successor.listener.address)
+    SocketPeer(deployment.discovery.connections[-1]).close("reset")  # ... and ends the one that there is
+    successor.set_endpoint("s-0", deployment.endpoints[0].address, "draining")
+    successor.wait_for_polls(2)
+    assert time.monotonic() - began < 1.5 and successor.polled_versions[:2] == [2, 3]
+    assert establish_at(node, deployment.endpoints[1], 3) and have_no_attempts(deployment.endpoints[0])
 
 
 @pytest.mark.parametrize("form", ["503", "silent"])
-def test_a_discovery_that_is_not_up_yet_is_polled_until_it_answers(world: World, form: str) -> None:
+def test_a_discovery_that_is_not_up_yet_is_polled_until_it_answers(deployment: Deployment, form: str) -> None:
     """What it has to tell counts as told 4 s after the signal: a call without an answer ends before."""
-    node = world.start()
-    successor = Discovery()
-    successor.form = form
-    successor.tell("s-0", world.servers[0].address)
+    node = deployment.start()
+    successor = StandInDiscovery()
+    successor.reply_format = form
+    successor.set_endpoint("s-0", deployment.endpoints[0].address)
     began = time.monotonic()
-    node.reload(discovery=successor.server.address)
-    successor.wait_calls(2)
+    node.reload(discovery=successor.listener.address)
+    successor.wait_for_polls(2)
     assert time.monotonic() - began < 4
-    successor.form = ""
-    while 1 not in successor.asked:  # the watch that goes on from its list
-        successor.wait_calls(len(successor.asked) + 1)
-    assert set(successor.asked[: successor.asked.index(1)]) == {-1}
+    successor.reply_format = ""
+    while 1 not in successor.polled_versions:  # the watch that goes on from its list
+        successor.wait_for_polls(len(successor.polled_versions) + 1)
+    assert set(successor.polled_versions[: successor.polled_versions.index(1)]) == {-1}
 
 
 @pytest.mark.parametrize(
@@ -91,25 +91,25 @@
     ],
 )
 def test_an_invalid_file_is_rejected_and_the_old_one_stays_in_force(
-    world: World, text: str, names: str
+    deployment: Deployment, text: str, names: str
 ) -> None:
-    node = world.start()
-    client = node.client(fresh(OPEN % 3000))
-    relay = served(world, client)
-    world.discovery.wait_calls(1)
+    node = deployment.start()
+    client = node.connect(fresh(OPEN % 3000))
+    relay = served(deployment, client)
+    deployment.discovery.wait_for_polls(1)
     node.reload(text)
-    assert names in node.log.read_text().rsplit("reload: ", 1)[1]
-    for number, server in enumerate(world.servers):
-        world.discovery.tell(f"s-{number}", server.address, "draining")
-    assert is_migrated(client) and relay.ending() == "end"
+    assert names in node.log_path.read_text().rsplit("reload: ", 1)[1]
+    for number, server in enumerate(deployment.endpoints):
+        deployment.discovery.set_endpoint(f"s-{number}", server.address, "draining")
+    assert is_migrated(client) and relay.wait_for_close() == "end"
 
 
-def test_settings_that_cannot_be_reloaded_are_logged(world: World) -> None:
-    node = world.start()
+def test_settings_that_cannot_be_reloaded_are_logged(deployment: Deployment) -> None:
+    node = deployment.start()
     node.reload(limits={"cores": 1.0, "memory_mb": 192, "sockets": 500}, name="other", discovery="nowhere")
-    assert "discovery" in node.log.read_text().rsplit("reload: ", 1)[1]
-    node.reload(discovery=world.discovery.server.address)
-    said = node.log.read_text().rsplit("reload: ", 1)[1]
+    assert "discovery" in node.log_path.read_text().rsplit("reload: ", 1)[1]
+    node.reload(discovery=deployment.discovery.listener.address)
+    said = node.log_path.read_text().rsplit("reload: ", 1)[1]
     assert "cannot change while running: name, sockets" in said
     assert node.process.poll() is None and node.stop() == 0
 
@@ -117,55 +117,57 @@
 LIVE, ONCE = SETTINGS["Classes"]
 
 
-def reload_settings(node: Node, classes: list[dict[str, Any]], **limits: Any) -> str:
+def reload_settings(node: NodeProcess, classes: list[dict[str, Any]], **limits: Any) -> str:
     """Has new settings read; what the log says of it."""
     node.reload(settings={**SETTINGS, "Classes": classes, "Limits": {**SETTINGS["Limits"], **limits}})
-    return node.log.read_text().rsplit("reload: ", 1)[1]
+    return node.log_path.read_text().rsplit("reload: ", 1)[1]
 
 
 def opening_of_class(name: str, wait: int = 3000) -> bytes:
     return fresh(OPEN % wait).replace(b"live-text", name.encode())
 
 
-def test_classes_are_added_and_removed_while_connections_continue(world: World) -> None:
-    node = world.start()
-    client = node.client(opening_of_class("live-text"))
-    relay = served(world, client)
-    assert node.client(opening_of_class("new")).line() == b"ERR\r\n"
+def test_classes_are_added_and_removed_while_connections_continue(deployment: Deployment) -> None:
+    node = deployment.start()
+    client = node.connect(opening_of_class("live-text"))
+    relay = served(deployment, client)
+    assert node.connect(opening_of_class("new")).read_line() == b"ERR\r\n"
     reload_settings(node, [ONCE, {**LIVE, "Name": "new"}])
     client.send(b"still here\r\n")
-    assert relay.line() == b"still here\r\n"
-    newcomer = node.client(opening_of_class("new"))
-    assert served(world, newcomer)
-    assert node.client(opening_of_class("live-text")).line() == b"ERR\r\n"
-    figures = node.figures()
+    assert relay.read_line() == b"still here\r\n"
+    newcomer = node.connect(opening_of_class("new"))
+    assert served(deployment, newcomer)
+    assert node.connect(opening_of_class("live-text")).read_line() == b"ERR\r\n"
+    figures = node.read_metrics()
     assert figures["operations.new.fulfilled"] == 1 and figures["operations.once.fulfilled"] == 0
     assert figures["operations.live-text.fulfilled"] == figures["operations.live-text.faulted"] == 1
     reload_settings(node, [LIVE, ONCE])
-    again = node.client(opening_of_class("live-text"))
-    assert served(world, again) and node.client(opening_of_class("new")).line() == b"ERR\r\n"
+    again = node.connect(opening_of_class("live-text"))
+    assert served(deployment, again) and node.connect(opening_of_class("new")).read_line() == b"ERR\r\n"
 
 
-def test_a_stricter_idempotency_applies_to_new_requests_and_fewer_attempts_to_all(world: World) -> None:
+def test_a_stricter_idempotency_applies_to_new_requests_and_fewer_attempts_to_all(
+    deployment: Deployment,
+) -> None:
     """One that came before may run again; one that came after may not."""
-    node = world.start()
+    node = deployment.start()
     clients, ends = [], []
     for effect in ("safe", "unsafe"):
         if effect == "unsafe":
             reload_settings(node, [{**LIVE, "Repeat": "unsafe"}, ONCE])
-        clients.append(node.client(opening_of_class("live-text")))
-        _, relay = first_of(world.servers)
-        relay.line()
+        clients.append(node.connect(opening_of_class("live-text")))
+        _, relay = first_of(deployment.endpoints)
+        relay.read_line()
         ends.append(relay)
     ends[1].send(b"ERR\r\n")
-    assert clients[1].line() == b"ERR\r\n"
+    assert clients[1].read_line() == b"ERR\r\n"
     ends[0].send(b"ERR\r\n")
-    _, second = first_of(world.servers)
-    second.line()
+    _, second = first_of(deployment.endpoints)
+    second.read_line()
     reload_settings(node, [LIVE, ONCE], AttemptsCap=2)
     second.send(b"ERR\r\n")
-    assert clients[0].line().startswith(b"BUSY")
-    assert node.figures()["relayed"] == 3
+    assert clients[0].read_line().startswith(b"BUSY")
+    assert node.read_metrics()["relayed"] == 3
 
 
 @pytest.mark.parametrize(
@@ -186,22 +188,24 @@
     ],
 )
 def test_an_invalid_file_changes_nothing(
-    world: World, classes: list[dict[str, Any]], limits: dict[str, Any], names: str
+    deployment: Deployment, classes: list[dict[str, Any]], limits: dict[str, Any], names: str
 ) -> None:
     """Not its discovery either, though that could be right."""
-    node = world.start()
+    node = deployment.start()
     path = node.folder / "config.json"
     before = path.read_text()
     path.write_text(json.dumps({**json.loads(before), "discovery": "127.0.0.1:1"}))
     assert names in reload_settings(node, classes, **limits)
-    world.discovery.tell("s-9", world.servers[1].address)
-    node.figure("registry_entries", 3)
-    assert node.figures()["cfg_invalid"] == 1
+    deployment.discovery.set_endpoint("s-9", deployment.endpoints[1].address)
+    node.wait_for_metric("registry_entries", 3)
+    assert node.read_metrics()["cfg_invalid"] == 1
 
 
 @pytest.mark.parametrize("key", ["name", "listen", "seed", "limits", "settings"])
-def test_a_file_that_lacks_a_key_is_rejected_with_its_name(world: World, key: str) -> None:
-    node = world.start()
+def test_a_file_that_lacks_a_key_is_rejected_with_its_name(deployment: Deployment, key: str) -> None:
+    node = deployment.start()
     whole = json.loads((node.folder / "config.json").read_text())
     node.reload(json.dumps({name: value for name, value in whole.items() if name != key}))
-    assert key in node.log.read_text().rsplit("reload: ", 1)[1] and node.figures()["cfg_invalid"] == 1
+    assert (
+        key in node.log_path.read_text().rsplit("reload: ", 1)[1] and node.read_metrics()["cfg_invalid"] == 1
+    )
--- a/tests/test_scram.py
+++ b/tests/test_scram.py
@@ -5,10 +5,18 @@
 import base64
 
 import pytest
-from conftest import World
+from conftest import Deployment
 from scramp import ScramClient
-from standins import Peer
-from xmpp_standins import CERTIFICATE, FEATURES, HEADER, SASL, XmppWorld, bind, plain
+from stand_ins import SocketPeer
+from xmpp_stand_ins import (
+    CERTIFICATE,
+    FEATURES_END,
+    SASL_XMLNS,
+    STREAM_HEADER,
+    XmppDeployment,
+    bind_resource,
+    plain_auth,
+)
 
 from puffinpost.protocol.scram import VerifierStore, channel_binding_data
 
@@ -18,48 +26,48 @@
 
 
 def scram(
-    xmpp: XmppWorld, user: str, password: str, mechanism: str = "SCRAM-SHA-256", binding: bytes = b""
-) -> tuple[Peer, bytes]:
+    xmpp: XmppDeployment, user: str, password: str, mechanism: str = "SCRAM-SHA-256", binding: bytes = b""
+) -> tuple[SocketPeer, bytes]:
     """Plays SCRAM over TLS with the library's client; what came of it."""
-    peer = xmpp.secure()
-    peer.until(FEATURES)
+    peer = xmpp.connect_over_tls()
+    peer.read_until(FEATURES_END)
     client = ScramClient([mechanism], user, password, ("tls-server-end-point", binding) if binding else None)
     peer.send(
         b"<auth "
-        + SASL
+        + SASL_XMLNS
         + b" mechanism='%s'>" % mechanism.encode()
         + said(client.get_client_first())
         + b"</auth>"
     )
-    answered = peer.until(b">")
+    answered = peer.read_until(b">")
     if b"<challenge" not in answered:
-        return peer, answered + peer.until(b"</failure>")
-    client.set_server_first(base64.b64decode(peer.until(b"</challenge>").split(b"<")[0]).decode())
-    peer.send(b"<response " + SASL + b">" + said(client.get_client_final()) + b"</response>")
-    answered = peer.until(b">")
+        return peer, answered + peer.read_until(b"</failure>")
+    client.set_server_first(base64.b64decode(peer.read_until(b"</challenge>").split(b"<")[0]).decode())
+    peer.send(b"<response " + SASL_XMLNS + b">" + said(client.get_client_final()) + b"</response>")
+    answered = peer.read_until(b">")
     if b"<success" not in answered:
-        return peer, answered + peer.until(b"</failure>")
-    client.set_server_final(base64.b64decode(peer.until(b"</success>").split(b"<")[0]).decode())
+        return peer, answered + peer.read_until(b"</failure>")
+    client.set_server_final(base64.b64decode(peer.read_until(b"</success>").split(b"<")[0]).decode())
     return peer, b"success"
 
 
 SCRAM = 'mechanisms = ["SCRAM-SHA-256-PLUS", "SCRAM-SHA-256", "PLAIN"]'
 
 
-def test_scram_authenticates_both_ends_with_channel_binding(world: World) -> None:
-    xmpp = XmppWorld(world, mechanisms=SCRAM)
-    peer = xmpp.connect(HEADER)
-    offered = peer.until(FEATURES)
+def test_scram_authenticates_both_ends_with_channel_binding(deployment: Deployment) -> None:
+    xmpp = XmppDeployment(deployment, mechanisms=SCRAM)
+    peer = xmpp.connect(STREAM_HEADER)
+    offered = peer.read_until(FEATURES_END)
     assert b"<mechanism>SCRAM-SHA-256</mechanism>" in offered and b"PLUS" not in offered
-    peer = xmpp.secure()
-    offered = peer.until(FEATURES)
+    peer = xmpp.connect_over_tls()
+    offered = peer.read_until(FEATURES_END)
     assert b"<mechanism>SCRAM-SHA-256-PLUS</mechanism>" in offered
     assert b"<channel-binding type='tls-server-end-point'/>" in offered
     data = channel_binding_data(CERTIFICATE.read_text())
     for mechanism, binding in (("SCRAM-SHA-256", b""), ("SCRAM-SHA-256-PLUS", data)):
         peer, came = scram(xmpp, "ada", "lovelace", mechanism, binding)
         assert came == b"success"
-        assert bind(peer, b"phone") == b"ada@edge.test/phone"
+        assert bind_resource(peer, b"phone") == b"ada@edge.test/phone"
         peer.close()
 
 
@@ -72,20 +80,20 @@
     ],
 )
 def test_scram_failures_are_indistinguishable(
-    world: World, user: str, password: str, mechanism: str, binding: bytes
+    deployment: Deployment, user: str, password: str, mechanism: str, binding: bytes
 ) -> None:
     """A wrong password, a name that nobody has and a channel with somebody in it look alike."""
-    xmpp = XmppWorld(world, mechanisms=SCRAM)
+    xmpp = XmppDeployment(deployment, mechanisms=SCRAM)
     peer, came = scram(xmpp, user, password, mechanism, binding)
-    assert came == b"<failure " + SASL + b"><not-authorized/></failure>"
-    peer.send(plain("ada", "lovelace"))  # the stream goes on
-    assert b"<success " in peer.until(b"/>")
+    assert came == b"<failure " + SASL_XMLNS + b"><not-authorized/></failure>"
+    peer.send(plain_auth("ada", "lovelace"))  # the stream goes on
+    assert b"<success " in peer.read_until(b"/>")
     peer.close()
-    peer = xmpp.secure()
-    peer.until(FEATURES)
+    peer = xmpp.connect_over_tls()
+    peer.read_until(FEATURES_END)
     for garbage in (b"eCx4", b"biwsbj1hZGEscj0=", b"cD10bHMtdW5pcXVlLCxuPWFkYSxyPXg="):
-        peer.send(b"<auth " + SASL + b" mechanism='SCRAM-SHA-256'>" + garbage + b"</auth>")
-        assert b"<malformed-request/>" in peer.until(b"</failure>")
+        peer.send(b"<auth " + SASL_XMLNS + b" mechanism='SCRAM-SHA-256'>" + garbage + b"</auth>")
+        assert b"<malformed-request/>" in peer.read_until(b"</failure>")
 
 
 def test_an_unknown_user_has_a_stable_salt() -> None:
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-from conftest import World
-from standins import SETTINGS
+from conftest import Deployment
+from stand_ins import SETTINGS
 from test_node import OPEN, first_of, fresh
 from test_reload import is_migrated
 
@@ -33,16 +33,18 @@
 
 
 @pytest.mark.parametrize("settings", DRAWN.values(), ids=DRAWN.keys())
-def test_program_serves_with_settings_of_another_deployment(world: World, settings: dict[str, Any]) -> None:
+def test_program_serves_with_settings_of_another_deployment(
+    deployment: Deployment, settings: dict[str, Any]
+) -> None:
     assert all(settings[key] != SETTINGS.get(key) for key in settings)
-    node = world.start(settings=settings)
-    client = node.client(fresh(OPEN % 3000))
-    server, relay = first_of(world.servers)
-    while not relay.line().startswith(b"OPEN"):  # a probe: not said, which is no report
+    node = deployment.start(settings=settings)
+    client = node.connect(fresh(OPEN % 3000))
+    server, relay = first_of(deployment.endpoints)
+    while not relay.read_line().startswith(b"OPEN"):  # a probe: not said, which is no report
         relay.close()
-        server, relay = first_of(world.servers)
+        server, relay = first_of(deployment.endpoints)
     relay.send(b"UP 1\r\n")
-    assert client.line() == b"UP 1\r\n"
-    world.discovery.tell(f"s-{world.servers.index(server)}", server.address, "draining")
+    assert client.read_line() == b"UP 1\r\n"
+    deployment.discovery.set_endpoint(f"s-{deployment.endpoints.index(server)}", server.address, "draining")
     assert is_migrated(client)
     assert node.stop() == 0
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,15 @@
 from dataclasses import replace
 
 import pytest
-from world import MS, PLAIN, Driver, S, line, of, only
+from balancer_harness import (
+    BALANCER_SETTINGS,
+    MS,
+    BalancerHarness,
+    S,
+    actions_of_type,
+    endpoint_entry,
+    single_action,
+)
 
 from puffinpost.balancing.actions import Action, CheckHealth, Migrate, Reject, StartAttempt
 from puffinpost.balancing.events import (
@@ -29,7 +37,7 @@
     Tenant(quota_share=0.5, quota_connections=60.0),
 )
 GROUPS = replace(
-    PLAIN,
+    BALANCER_SETTINGS,
     balancer_count=NODES,
     zone_count=1,
     groups_share_work=True,
@@ -45,7 +53,9 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.nodes = [
-            Driver(replace(settings, balancer_index=me), *map(line, range(1, 5)), seed=seed * 100 + me)
+            BalancerHarness(
+                replace(settings, balancer_index=me), *map(endpoint_entry, range(1, 5)), seed=seed * 100 + me
+            )
             for me in range(NODES)
         ]
         self.chance = random.Random(seed)
@@ -65,14 +75,14 @@
                 answer = HealthCheckCompleted(
                     action.endpoint, AttemptResult.SERVED, MS, (self.load(action.endpoint),)
                 )
-                self.do(number, node.give(answer), now)
+                self.do(number, node.handle(answer), now)
             elif isinstance(action, StartAttempt):
                 group, tenant = divmod(self.asked[number, action.request], 10)
                 self.open[number, action.request] = (action.endpoint, tenant, now + 10 * S)
                 self.stood[tenant] += 1
                 self.pairs.add((group, action.endpoint))
                 self.do(
-                    number, node.give(AttemptEstablished(action.request, 0, action.endpoint, 5 * MS)), now
+                    number, node.handle(AttemptEstablished(action.request, 0, action.endpoint, 5 * MS)), now
                 )
             elif isinstance(action, Migrate):
                 self.end(number, action.request)
@@ -81,7 +91,7 @@
 
     def end(self, number: int, request: int) -> None:
         server = self.open.pop((number, request))[0]
-        self.nodes[number].end(request, 0, server, AttemptResult.SERVED, finished=True)
+        self.nodes[number].end_attempt(request, 0, server, AttemptResult.SERVED, finished=True)
 
     def second(self, arrivals: dict[int, int], groups: int = 1) -> None:
         """One second with so many arrivals of each tenant."""
@@ -91,27 +101,27 @@
         for tick in range(50):
             for number, node in enumerate(self.nodes):
                 self.tick(number, node, step)
-            for key in [it for it, (_, _, until) in self.open.items() if until <= self.nodes[0].now]:
+            for key in [it for it, (_, _, until) in self.open.items() if until <= self.nodes[0].now_ns]:
                 self.end(*key)
             for tenant in coming[tick::50]:
                 number = self.chance.randrange(NODES)
                 self.ask(number, tenant, self.chance.randrange(1, groups + 1))
 
-    def tick(self, number: int, node: Driver, step: int) -> None:
-        end = node.now + step
+    def tick(self, number: int, node: BalancerHarness, step: int) -> None:
+        end = node.now_ns + step
         while node.timers and min(node.timers)[0] <= end:
             due = min(node.timers)
             node.timers.remove(due)
-            node.now = max(node.now, due[0])
-            self.do(number, node.give(TimerFired(due[2])), node.now)
-        node.now = end
+            node.now_ns = max(node.now_ns, due[0])
+            self.do(number, node.handle(TimerFired(due[2])), node.now_ns)
+        node.now_ns = end
 
     def ask(self, number: int, tenant: int, group: int) -> None:
         node = self.nodes[number]
-        node.last, node.next = node.next, node.next + 1
-        self.asked[number, node.last] = tenant + 10 * group
-        request = RequestReceived(node.last, 0, node.now + 2 * S, tenant=tenant, group=group)
-        self.do(number, node.give(request), node.now)
+        node.last_request, node.next_request = node.next_request, node.next_request + 1
+        self.asked[number, node.last_request] = tenant + 10 * group
+        request = RequestReceived(node.last_request, 0, node.now_ns + 2 * S, tenant=tenant, group=group)
+        self.do(number, node.handle(request), node.now_ns)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -127,17 +137,19 @@
 
 
 def test_a_tenant_over_its_share_is_refused_at_once_where_room_is_short() -> None:
-    node = Driver(replace(SHARED, balancer_count=1), line(1), line(2))
+    node = BalancerHarness(replace(SHARED, balancer_count=1), endpoint_entry(1), endpoint_entry(2))
     for _ in range(68):
-        node.last, node.next = node.next, node.next + 1
-        node.give(ConnectionAdopted(RequestReceived(node.last, 0, node.now + 2 * S, tenant=1), 1))
+        node.last_request, node.next_request = node.next_request, node.next_request + 1
+        node.handle(
+            ConnectionAdopted(RequestReceived(node.last_request, 0, node.now_ns + 2 * S, tenant=1), 1)
+        )
     for server in (1, 2):
-        node.report(server, 0.7)
-    node.run(S)
+        node.report_load(server, 0.7)
+    node.advance(S)
     for server in (1, 2):
-        node.report(server, 0.7)
-    assert of(node.ask(tenant=1), Reject) != []
-    assert of(node.ask(tenant=0), StartAttempt) != []
+        node.report_load(server, 0.7)
+    assert actions_of_type(node.send_request(tenant=1), Reject) != []
+    assert actions_of_type(node.send_request(tenant=0), StartAttempt) != []
 
 
 class Heard(Fleet):
@@ -151,7 +163,7 @@
                 float(sum(it[tenant] for at, it in enumerate(held) if at != number))
                 for tenant in range(len(TENANTS))
             )
-            node.give(GossipState((), others))
+            node.handle(GossipState((), others))
 
 
 def test_who_comes_to_one_node_alone_has_its_whole_share_where_the_others_are_heard() -> None:
@@ -193,29 +205,39 @@
 def test_connections_of_groups_are_not_moved_to_even_out() -> None:
     moves = []
     for groups in (True, False):
-        node = Driver(replace(GROUPS, groups_share_work=groups, balancer_count=1), line(1), line(2))
+        node = BalancerHarness(
+            replace(GROUPS, groups_share_work=groups, balancer_count=1), endpoint_entry(1), endpoint_entry(2)
+        )
         for _ in range(40):
-            node.last, node.next = node.next, node.next + 1
-            node.give(ConnectionAdopted(RequestReceived(node.last, 0, node.now + 2 * S, group=7), 1))
-        node.report(2, 0.1)
-        node.run(S)
-        moves.append(len(of(node.report(1, 0.95), Migrate)))
+            node.last_request, node.next_request = node.next_request, node.next_request + 1
+            node.handle(
+                ConnectionAdopted(RequestReceived(node.last_request, 0, node.now_ns + 2 * S, group=7), 1)
+            )
+        node.report_load(2, 0.1)
+        node.advance(S)
+        moves.append(len(actions_of_type(node.report_load(1, 0.95), Migrate)))
     assert moves[0] == 0 < moves[1]
 
 
 def test_what_is_worth_least_for_its_load_leaves_first() -> None:
     """A slow server: two delay notes a second apart show that a part of the work there is too much."""
     dear, cheap = (
-        replace(PLAIN.classes[0], priority_weight=5.0),
-        replace(PLAIN.classes[0], priority_weight=1.0),
+        replace(BALANCER_SETTINGS.classes[0], priority_weight=5.0),
+        replace(BALANCER_SETTINGS.classes[0], priority_weight=1.0),
+    )
+    node = BalancerHarness(
+        replace(GROUPS, classes=(dear, cheap), balancer_count=1), endpoint_entry(1), endpoint_entry(2)
     )
-    node = Driver(replace(GROUPS, classes=(dear, cheap), balancer_count=1), line(1), line(2))
     for number in range(20):
-        node.last, node.next = node.next, node.next + 1
-        node.give(ConnectionAdopted(RequestReceived(node.last, number % 2, node.now + 2 * S, load=100), 1))
-    node.give(DelayReported(1, 1, 200 * MS))
-    node.now += S
-    moved = of(node.give(DelayReported(1, 1, 700 * MS)), Migrate)
+        node.last_request, node.next_request = node.next_request, node.next_request + 1
+        node.handle(
+            ConnectionAdopted(
+                RequestReceived(node.last_request, number % 2, node.now_ns + 2 * S, load=100), 1
+            )
+        )
+    node.handle(DelayReported(1, 1, 200 * MS))
+    node.now_ns += S
+    moved = actions_of_type(node.handle(DelayReported(1, 1, 700 * MS)), Migrate)
     assert 2 <= len(moved) <= 10 and all(it.request % 2 == 0 for it in moved)
 
 
@@ -230,8 +252,12 @@
         and not shares.is_over_quota(2, TENANTS, 4)
     )
     assert not shares.is_over_quota(1, (TENANTS[0], replace(TENANTS[1], quota_connections=0.0)), 4)
-    assert retained_weight(PLAIN.classes[0], 0.0, 1.0) > retained_weight(PLAIN.classes[0], 1.0, 1.0)
-    assert retained_weight(PLAIN.classes[0], 2.0, 1.0) == 10 * retained_weight(PLAIN.classes[0], 2.0, 0.1)
+    assert retained_weight(BALANCER_SETTINGS.classes[0], 0.0, 1.0) > retained_weight(
+        BALANCER_SETTINGS.classes[0], 1.0, 1.0
+    )
+    assert retained_weight(BALANCER_SETTINGS.classes[0], 2.0, 1.0) == 10 * retained_weight(
+        BALANCER_SETTINGS.classes[0], 2.0, 0.1
+    )
 
 
 def test_a_group_is_scored_where_it_is_and_at_the_first_of_the_others() -> None:
@@ -242,6 +268,7 @@
 
 def test_a_placement_of_a_group_is_found_by_all_nodes_alike() -> None:
     nodes = [
-        Driver(replace(GROUPS, balancer_index=me), *map(line, range(1, 9)), seed=me) for me in range(NODES)
+        BalancerHarness(replace(GROUPS, balancer_index=me), *map(endpoint_entry, range(1, 9)), seed=me)
+        for me in range(NODES)
     ]
-    assert len({only(node.ask(group=5), StartAttempt).endpoint for node in nodes}) == 1
+    assert len({single_action(node.send_request(group=5), StartAttempt).endpoint for node in nodes}) == 1
--- a/tests/test_slixmpp.py
+++ b/tests/test_slixmpp.py
@@ -9,10 +9,18 @@
 from xml.etree import ElementTree
 
 import slixmpp
-from conftest import World
+from conftest import Deployment
 from test_mqtt import Link, asked, links
 from test_node import first_of
-from xmpp_standins import CERTIFICATE, DOMAIN, SESSION, UP, XmppWorld, answer, transcriber
+from xmpp_stand_ins import (
+    CERTIFICATE,
+    DOMAIN,
+    SESSION_NAMESPACE,
+    SESSION_UP,
+    XmppDeployment,
+    answer_iq,
+    negotiate_as_endpoint,
+)
 
 __all__ = ["links"]
 SHORT_S = 20.0
@@ -22,7 +30,7 @@
     return await asyncio.wait_for(asyncio.get_running_loop().run_in_executor(None, call, *words), SHORT_S)
 
 
-async def play(world: World, xmpp: XmppWorld, link: Link) -> list[str]:
+async def play(deployment: Deployment, xmpp: XmppDeployment, link: Link) -> list[str]:
     """What the client heard, once it has heard all."""
     client = slixmpp.ClientXMPP(f"ada@{DOMAIN}/phone", "lovelace")
     client.ca_certs = CERTIFICATE
@@ -44,10 +52,10 @@
     client.connect("127.0.0.1", link.port)
     await comes("sm_enabled")
     iq = client.make_iq_set(ito=DOMAIN)
-    iq.append(ElementTree.fromstring(f"<open xmlns='{SESSION}' class='live-text' wait='3000'/>"))
+    iq.append(ElementTree.fromstring(f"<open xmlns='{SESSION_NAMESPACE}' class='live-text' wait='3000'/>"))
     asking = asyncio.ensure_future(iq.send(timeout=SHORT_S))  # type: ignore[no-untyped-call]
-    relay = (await in_thread(first_of, world.servers))[1]
-    answer(relay, await in_thread(transcriber, relay), UP)
+    relay = (await in_thread(first_of, deployment.endpoints))[1]
+    answer_iq(relay, await in_thread(negotiate_as_endpoint, relay), SESSION_UP)
     assert (await asking)["type"] == "result"
     for number in range(10):
         client.send_message(slixmpp.JID(DOMAIN), f"up {number}")
@@ -61,7 +69,7 @@
     for number in range(10, 20):
         client.send_message(slixmpp.JID(DOMAIN), f"up {number}")
     await comes("all")
-    passed = [await in_thread(relay.until, b"</message>") for _ in range(20)]
+    passed = [await in_thread(relay.read_until, b"</message>") for _ in range(20)]
     found = [re.search(rb"<body>(.*)</body>", each) for each in passed]
     assert [each.group(1) for each in found if each] == [b"up %d" % number for number in range(20)]
     await client.disconnect()
@@ -69,11 +77,11 @@
 
 
 def test_slixmpp_resumes_its_session_after_a_connection_loss(
-    world: World, links: Callable[..., Link]
+    deployment: Deployment, links: Callable[..., Link]
 ) -> None:
-    xmpp = XmppWorld(world, mechanisms='mechanisms = ["SCRAM-SHA-256"]')
+    xmpp = XmppDeployment(deployment, mechanisms='mechanisms = ["SCRAM-SHA-256"]')
     link = links(xmpp.port, "--delay-ms", "5")
-    heard = asyncio.run(play(world, xmpp, link))
-    assert heard == [f"down {number}" for number in range(20)] and not asked(world)
-    counts = xmpp.node.counts()
+    heard = asyncio.run(play(deployment, xmpp, link))
+    assert heard == [f"down {number}" for number in range(20)] and not asked(deployment)
+    counts = xmpp.node.read_counters()
     assert counts["relays"] == 1 and counts["edge_resumed"] + counts.get("edge_taken_over", 0) == 1
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -7,8 +7,8 @@
 import time
 
 import pytest
-from conftest import World
-from standins import SETTINGS, Discovery, free_port
+from conftest import Deployment
+from stand_ins import SETTINGS, StandInDiscovery, free_port
 from test_endings import establish_at, have_no_attempts
 from test_node import OPEN, first_of, fresh
 
@@ -18,16 +18,16 @@
 LARGE = {"FleetSize": 200, "Rules": {**SETTINGS["Rules"], "AskWithinNs": 10_000_000_000}}
 
 
-class BlockedDiscovery(Discovery):
+class BlockedDiscovery(StandInDiscovery):
     """It answers no call before it is told to."""
 
     def __init__(self) -> None:
         super().__init__()
         self.released = threading.Event()
 
-    def reply(self, body: bytes) -> list[bytes]:
+    def encode_reply(self, body: bytes) -> list[bytes]:
         self.released.wait()
-        return super().reply(body)
+        return super().encode_reply(body)
 
 
 def is_listening(port: int) -> bool:
@@ -39,34 +39,38 @@
 
 
 @pytest.mark.parametrize("fleet", [{}, LARGE])
-def test_no_client_is_accepted_before_the_first_endpoint_list(world: World, fleet: dict[str, object]) -> None:
-    discovery = world.discovery = BlockedDiscovery()
-    node = world.start(settings=fleet, waits=False)  # the list that it is started with is written by now
-    discovery.tell("s-0", world.servers[0].address, "draining")
-    discovery.wait_calls(1)
+def test_no_client_is_accepted_before_the_first_endpoint_list(
+    deployment: Deployment, fleet: dict[str, object]
+) -> None:
+    discovery = deployment.discovery = BlockedDiscovery()
+    # The list that it is started with is written by now.
+    node = deployment.start(settings=fleet, wait_until_listening=False)
+    discovery.set_endpoint("s-0", deployment.endpoints[0].address, "draining")
+    discovery.wait_for_polls(1)
     assert not is_listening(node.port)
     discovery.released.set()
-    node.wait_log("listening for clients")
-    kept = establish_at(node, world.servers[1], 4)
-    assert len(kept) == 4 and have_no_attempts(world.servers[0])
+    node.wait_for_log("listening for clients")
+    kept = establish_at(node, deployment.endpoints[1], 4)
+    assert len(kept) == 4 and have_no_attempts(deployment.endpoints[0])
 
 
 @pytest.mark.parametrize("fleet", [{}, LARGE])
 @pytest.mark.parametrize("how", ["refused", "silent", "503", "garbage"])
 def test_a_process_is_ready_in_time_without_discovery(
-    world: World, how: str, fleet: dict[str, object]
+    deployment: Deployment, how: str, fleet: dict[str, object]
 ) -> None:
-    world.discovery.form = how
+    deployment.discovery.reply_format = how
     if how == "refused":
-        world.discovery.server.address = f"127.0.0.1:{free_port()}"
-    node = world.start(settings=fleet, waits=False)
-    node.wait_log("admin server listening address=")  # from here on it is its own wait; before, the machine's
+        deployment.discovery.listener.address = f"127.0.0.1:{free_port()}"
+    node = deployment.start(settings=fleet, wait_until_listening=False)
+    # From here on it is its own wait; before, the machine's.
+    node.wait_for_log("admin server listening address=")
     began = time.monotonic()
-    node.wait_log("listening for clients")
+    node.wait_for_log("listening for clients")
     assert time.monotonic() - began < STARTUP_LIST_TIMEOUT_NS / 1e9 + 1.5 < READY_S
-    assert node.client(b"PING\r\n").line() == b"PONG\r\n"
-    client = node.client(fresh(OPEN % 3000))  # and it serves with the list that it has
-    upstream = first_of(world.servers)[1]
-    upstream.line()
+    assert node.connect(b"PING\r\n").read_line() == b"PONG\r\n"
+    client = node.connect(fresh(OPEN % 3000))  # and it serves with the list that it has
+    upstream = first_of(deployment.endpoints)[1]
+    upstream.read_line()
     upstream.send(b"UP 1\r\n")
-    assert client.line() == b"UP 1\r\n"
+    assert client.read_line() == b"UP 1\r\n"
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from world import MS, PLAIN, START, Driver, S, line
+from balancer_harness import BALANCER_SETTINGS, MS, START_NS, BalancerHarness, S, endpoint_entry
 
 from puffinpost.balancing.actions import Action, CheckHealth, Fail, Reject, StartAttempt
 from puffinpost.balancing.events import (
@@ -21,7 +21,12 @@
 )
 
 ZONES = replace(
-    PLAIN, zone_count=3, balancer_count=3, max_attempts=5, load_report_fields=("x0",), zone_crossing_cost=0.01
+    BALANCER_SETTINGS,
+    zone_count=3,
+    balancer_count=3,
+    max_attempts=5,
+    load_report_fields=("x0",),
+    zone_crossing_cost=0.01,
 )
 CUT_S = 5  # when the trouble begins
 DIAL = 250 * MS
@@ -31,7 +36,9 @@
     """One node, nine servers in three zones, ten requests a second; zone 1 has most room and draws them."""
 
     def __init__(self, seed: int, failing: float = 0.0, cut: bool = False) -> None:
-        self.node = Driver(ZONES, *(line(number, zone=number % 3) for number in range(9)), seed=seed)
+        self.node = BalancerHarness(
+            ZONES, *(endpoint_entry(number, zone=number % 3) for number in range(9)), seed=seed
+        )
         self.chance = random.Random(seed)
         self.failing, self.cut = failing, cut
         self.due: list[tuple[int, Event]] = []
@@ -44,32 +51,32 @@
             self.step()
             if step % 10 == 0:
                 node = self.node
-                node.last, node.next = node.next, node.next + 1
+                node.last_request, node.next_request = node.next_request, node.next_request + 1
                 key = self.chance.getrandbits(40)
-                self.do(node.give(RequestReceived(node.last, 0, node.now + 2 * S, key=key)))
+                self.do(node.handle(RequestReceived(node.last_request, 0, node.now_ns + 2 * S, key=key)))
         return self
 
     def step(self) -> None:
-        node, end = self.node, self.node.now + 10 * MS
+        node, end = self.node, self.node.now_ns + 10 * MS
         while node.timers and min(node.timers)[0] <= end:
             due = min(node.timers)
             node.timers.remove(due)
-            node.now = max(node.now, due[0])
-            self.do(node.give(TimerFired(due[2])))
-        node.now = end
+            node.now_ns = max(node.now_ns, due[0])
+            self.do(node.handle(TimerFired(due[2])))
+        node.now_ns = end
         now = [item for item in self.due if item[0] <= end]
         self.due = [item for item in self.due if item[0] > end]
         for _, event in now:
-            self.do(node.give(event))
+            self.do(node.handle(event))
 
     def do(self, actions: list[Action]) -> None:
-        now, timeout = self.node.now, AttemptResult.TIMEOUT
+        now, timeout = self.node.now_ns, AttemptResult.TIMEOUT
         for action in actions:
             if isinstance(action, Reject | Fail):
                 self.ended[type(action).__name__] += 1
             if not isinstance(action, StartAttempt | CheckHealth):
                 continue
-            trouble = now > START + CUT_S * S
+            trouble = now > START_NS + CUT_S * S
             lost = trouble and self.cut and action.endpoint % 3 == 1
             if isinstance(action, CheckHealth):
                 load = (0.1 if action.endpoint % 3 == 1 else 0.7,)
@@ -82,7 +89,7 @@
                 continue
             number = self.attempts[action.request]
             self.attempts[action.request] += 1
-            self.sends[(now - START) // S, action.endpoint % 3] += 1
+            self.sends[(now - START_NS) // S, action.endpoint % 3] += 1
             if lost or (trouble and self.chance.random() < self.failing):
                 over = AttemptEnded(action.request, number, action.endpoint, timeout, False, DIAL)
                 self.due.append((now + min(DIAL, action.timeout_ns), over))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator
 
 import pytest
-from conftest import World
-from standins import MEETING, SETTINGS, WAIT_S, Node, Peer, free_port
+from balancer_harness import BALANCER_SETTINGS, BalancerHarness, endpoint_entry
+from conftest import Deployment
+from stand_ins import ALWAYS_HAND_OVER, SETTINGS, WAIT_TIMEOUT_S, NodeProcess, SocketPeer, free_port
 from test_node import OPEN, first_of, fresh, served
-from world import PLAIN, Driver, line
 
 from puffinpost.balancing.events import AttemptResult, HealthCheckCompleted
 
@@ -27,203 +27,221 @@
         yield listener
 
 
-def establish(world: World, node: Node, count: int) -> list[tuple[Peer, Peer]]:
+def establish(deployment: Deployment, node: NodeProcess, count: int) -> list[tuple[SocketPeer, SocketPeer]]:
     established = []
     for _ in range(count):
-        client = node.client(fresh(OPEN % 3000))
-        established.append((client, served(world, client)))
+        client = node.connect(fresh(OPEN % 3000))
+        established.append((client, served(deployment, client)))
     return established
 
 
-def exchange_line(pairs: list[tuple[Peer, Peer]], text: bytes) -> None:
+def exchange_line(pairs: list[tuple[SocketPeer, SocketPeer]], text: bytes) -> None:
     for client, upstream in pairs:
         client.send(text + b"\r\n")
-        assert upstream.line() == text + b"\r\n"
+        assert upstream.read_line() == text + b"\r\n"
         upstream.send(b"back " + text + b"\r\n")
-        assert client.line() == b"back " + text + b"\r\n"
+        assert client.read_line() == b"back " + text + b"\r\n"
 
 
 @pytest.mark.parametrize("platform_holds", [True, False])
 def test_sessions_are_handed_over_between_two_bytes(
-    world: World, inherited_listener: socket.socket, platform_holds: bool
+    deployment: Deployment, inherited_listener: socket.socket, platform_holds: bool
 ) -> None:
     shared = inherited_listener if platform_holds else None
-    old = world.start(inherited=shared, edge="" if platform_holds else MEETING)
-    pairs = establish(world, old, 4)
+    old = deployment.start(inherited_listener=shared, edge="" if platform_holds else ALWAYS_HAND_OVER)
+    pairs = establish(deployment, old, 4)
     exchange_line(pairs, b"before")
     for client, upstream in pairs:  # half a line, both ways
         client.send(b"half a ")
         upstream.send(b"LOAD 4")
-    new = world.start(inherited=shared, beside=old, edge="" if platform_holds else MEETING)
-    new.ready()
-    new.figure("open_requests", 4)
-    old.figure("open_requests", 0)
-    assert old.call("GET", "/ready")[0] == 503
+    new = deployment.start(
+        inherited_listener=shared, same_port_as=old, edge="" if platform_holds else ALWAYS_HAND_OVER
+    )
+    new.wait_until_ready()
+    new.wait_for_metric("open_requests", 4)
+    old.wait_for_metric("open_requests", 0)
+    assert old.request_admin("GET", "/ready")[0] == 503
     assert old.stop() == 0
     for client, upstream in pairs:
         client.send(b"line\r\n")
-        assert upstream.line() == b"half a line\r\n"
+        assert upstream.read_line() == b"half a line\r\n"
         upstream.send(b"1.5\r\n")
-        assert client.line() == b"LOAD 41.5\r\n"
+        assert client.read_line() == b"LOAD 41.5\r\n"
     exchange_line(pairs, b"after")
-    assert new.counts()["load_notes"] == 4 and new.figures()["relayed"] == 0
-    late = new.client(fresh(OPEN % 3000))
-    assert served(world, late)
+    assert new.read_counters()["load_notes"] == 4 and new.read_metrics()["relayed"] == 0
+    late = new.connect(fresh(OPEN % 3000))
+    assert served(deployment, late)
     client, upstream = pairs[0]
     upstream.send(b"BYE\r\n")
     upstream.close()
-    assert client.line() == b"BYE\r\n" and client.ending() == "end"
+    assert client.read_line() == b"BYE\r\n" and client.wait_for_close() == "end"
     pairs[1][0].close("reset")
-    assert pairs[1][1].ending() == "reset"
+    assert pairs[1][1].wait_for_close() == "reset"
 
 
 def test_predecessor_serves_what_it_accepted_and_its_request_ids_are_known(
-    world: World, inherited_listener: socket.socket
+    deployment: Deployment, inherited_listener: socket.socket
 ) -> None:
-    old = world.start(inherited=inherited_listener, settings=PATIENT_ONES)
+    old = deployment.start(inherited_listener=inherited_listener, settings=PATIENT_ONES)
     line_ = fresh(OPEN % 8000)
-    waiting = old.client(line_)
-    slow = old.client(b"OPEN ")
-    _, upstream = first_of(world.servers)
-    upstream.line()
-    new = world.start(inherited=inherited_listener, settings=PATIENT_ONES)
-    new.ready()
-    assert new.client(line_).line() == b"ERR\r\n"  # two with one id
+    waiting = old.connect(line_)
+    slow = old.connect(b"OPEN ")
+    _, upstream = first_of(deployment.endpoints)
+    upstream.read_line()
+    new = deployment.start(inherited_listener=inherited_listener, settings=PATIENT_ONES)
+    new.wait_until_ready()
+    assert new.connect(line_).read_line() == b"ERR\r\n"  # two with one id
     old.process.terminate()
     slow.send(fresh(OPEN % 8000)[5:])
-    other = first_of(world.servers)[1]
+    other = first_of(deployment.endpoints)[1]
     for each, client in ((other, slow), (upstream, waiting)):
-        line = each.line() if each is other else b""
+        line = each.read_line() if each is other else b""
         each.send(b"UP 5\r\n")
-        assert client.line() == b"UP 5\r\n", line
-    assert old.process.wait(WAIT_S) == 0
+        assert client.read_line() == b"UP 5\r\n", line
+    assert old.process.wait(WAIT_TIMEOUT_S) == 0
     exchange_line([(waiting, upstream), (slow, other)], b"still here")
-    again = new.client(line_)
-    assert again.line() == b"ERR\r\n"
+    again = new.connect(line_)
+    assert again.read_line() == b"ERR\r\n"
     waiting.close()
-    assert upstream.ending() == "end"
-    new.figure("open_requests", 1)
-    assert served(world, new.client(line_))
+    assert upstream.wait_for_close() == "end"
+    new.wait_for_metric("open_requests", 1)
+    assert served(deployment, new.connect(line_))
 
 
 def test_successor_is_ready_only_with_its_own_list_and_the_predecessor_serves_until_then(
-    world: World,
+    deployment: Deployment,
     inherited_listener: socket.socket,
 ) -> None:
-    old = world.start(inherited=inherited_listener)
-    old.ready()
-    world.discovery.form = "503"
-    new = world.start(inherited=inherited_listener, waits=False)
-    new.wait_log("admin server listening address=")
-    calls = world.discovery.calls
-    world.discovery.wait_calls(calls + 1)
-    assert new.call("GET", "/ready")[0] == 503 and old.call("GET", "/ready")[0] == 200
-    pairs = establish(world, old, 1)
-    world.discovery.form = ""
-    new.ready()
-    assert old.call("GET", "/ready")[0] == 503
-    new.figure("open_requests", 1)
+    old = deployment.start(inherited_listener=inherited_listener)
+    old.wait_until_ready()
+    deployment.discovery.reply_format = "503"
+    new = deployment.start(inherited_listener=inherited_listener, wait_until_listening=False)
+    new.wait_for_log("admin server listening address=")
+    calls = deployment.discovery.poll_count
+    deployment.discovery.wait_for_polls(calls + 1)
+    assert new.request_admin("GET", "/ready")[0] == 503 and old.request_admin("GET", "/ready")[0] == 200
+    pairs = establish(deployment, old, 1)
+    deployment.discovery.reply_format = ""
+    new.wait_until_ready()
+    assert old.request_admin("GET", "/ready")[0] == 503
+    new.wait_for_metric("open_requests", 1)
     exchange_line(pairs, b"still here")
 
 
 def test_predecessor_serves_again_when_the_successor_ends(
-    world: World, inherited_listener: socket.socket
+    deployment: Deployment, inherited_listener: socket.socket
 ) -> None:
-    old = world.start(inherited=inherited_listener)
+    old = deployment.start(inherited_listener=inherited_listener)
     for _ in range(2):
-        new = world.start(inherited=inherited_listener)
-        new.ready()
+        new = deployment.start(inherited_listener=inherited_listener)
+        new.wait_until_ready()
         new.process.kill()
         new.process.wait()
-        old.ready()
-        assert establish(world, old, 1)
+        old.wait_until_ready()
+        assert establish(deployment, old, 1)
 
 
 def test_stale_socket_and_unresponsive_predecessor_are_survived(
-    world: World, inherited_listener: socket.socket
+    deployment: Deployment, inherited_listener: socket.socket
 ) -> None:
-    old = world.start(inherited=inherited_listener)
+    old = deployment.start(inherited_listener=inherited_listener)
     old.process.kill()
     old.process.wait()
-    node = world.start(inherited=inherited_listener)
-    node.ready()
+    node = deployment.start(inherited_listener=inherited_listener)
+    node.wait_until_ready()
     node.process.send_signal(signal.SIGSTOP)
-    third = world.start(inherited=inherited_listener, waits=False)
-    third.wait_log("listening for clients")
-    third.ready()
+    third = deployment.start(inherited_listener=inherited_listener, wait_until_listening=False)
+    third.wait_for_log("listening for clients")
+    third.wait_until_ready()
     node.process.send_signal(signal.SIGCONT)
     assert third.process.poll() is None
 
 
-def test_bans_and_a_removed_class_are_handed_over(world: World, inherited_listener: socket.socket) -> None:
-    old = world.start(1, inherited=inherited_listener)
-    pairs = establish(world, old, 1)
-    world.discovery.tell("s-1", world.servers[1].address)
-    old.figure("registry_entries", 2)
-    assert old.call("POST", "/transcribers/disable/s-1")[0] == 200
-    new = world.start(inherited=inherited_listener, settings={"Classes": SETTINGS["Classes"][1:]})
-    new.ready()
-    new.figure("out_of_rotation", 1)
-    new.figure("open_requests", 1)
+def test_bans_and_a_removed_class_are_handed_over(
+    deployment: Deployment, inherited_listener: socket.socket
+) -> None:
+    old = deployment.start(1, inherited_listener=inherited_listener)
+    pairs = establish(deployment, old, 1)
+    deployment.discovery.set_endpoint("s-1", deployment.endpoints[1].address)
+    old.wait_for_metric("registry_entries", 2)
+    assert old.request_admin("POST", "/transcribers/disable/s-1")[0] == 200
+    new = deployment.start(
+        inherited_listener=inherited_listener, settings={"Classes": SETTINGS["Classes"][1:]}
+    )
+    new.wait_until_ready()
+    new.wait_for_metric("out_of_rotation", 1)
+    new.wait_for_metric("open_requests", 1)
     exchange_line(pairs, b"still here")
-    assert new.client(fresh(OPEN % 3000)).line() == b"ERR\r\n"
-    assert new.figures()["operations.live-text.faulted"] == 1
+    assert new.connect(fresh(OPEN % 3000)).read_line() == b"ERR\r\n"
+    assert new.read_metrics()["operations.live-text.faulted"] == 1
 
 
-def test_second_hot_restart_follows_the_first(world: World, inherited_listener: socket.socket) -> None:
-    nodes = [world.start(inherited=inherited_listener)]
-    pairs = establish(world, nodes[0], 3)
+def test_second_hot_restart_follows_the_first(
+    deployment: Deployment, inherited_listener: socket.socket
+) -> None:
+    nodes = [deployment.start(inherited_listener=inherited_listener)]
+    pairs = establish(deployment, nodes[0], 3)
     for _ in range(3):
-        nodes.append(world.start(inherited=inherited_listener))
-        nodes[-1].ready()
-        nodes[-1].figure("open_requests", 3)
+        nodes.append(deployment.start(inherited_listener=inherited_listener))
+        nodes[-1].wait_until_ready()
+        nodes[-1].wait_for_metric("open_requests", 3)
         assert nodes[-2].stop() == 0
         exchange_line(pairs, b"still here")
 
 
-def test_predecessor_watches_discovery_until_it_ends(world: World, inherited_listener: socket.socket) -> None:
-    old = world.start(1, inherited=inherited_listener, settings=PATIENT_ONES)
-    waiting = old.client(fresh(OPEN % 8000))
-    _, upstream = first_of(world.servers)
-    upstream.line()
-    new = world.start(1, inherited=inherited_listener, settings=PATIENT_ONES)
-    new.ready()
-    world.discovery.tell("s-0", world.servers[0].address, "draining")
-    old.figure("out_of_rotation", 1)
+def test_predecessor_watches_discovery_until_it_ends(
+    deployment: Deployment, inherited_listener: socket.socket
+) -> None:
+    old = deployment.start(1, inherited_listener=inherited_listener, settings=PATIENT_ONES)
+    waiting = old.connect(fresh(OPEN % 8000))
+    _, upstream = first_of(deployment.endpoints)
+    upstream.read_line()
+    new = deployment.start(1, inherited_listener=inherited_listener, settings=PATIENT_ONES)
+    new.wait_until_ready()
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "draining")
+    old.wait_for_metric("out_of_rotation", 1)
     upstream.send(b"BUSY\r\n")
-    assert waiting.line().startswith(b"BUSY") and not world.servers[0].asked()
+    assert waiting.read_line().startswith(b"BUSY") and not deployment.endpoints[0].has_pending_connection()
 
 
-def test_xmpp_listening_socket_is_handed_over_too(world: World) -> None:
+def test_xmpp_listening_socket_is_handed_over_too(deployment: Deployment) -> None:
     port = free_port()
-    edge = f'{MEETING}[xmpp]\nlisten = "127.0.0.1:{port}"\nmechanisms = ["ANONYMOUS"]\n'
-    old = world.start(edge=edge)
-    new = world.start(edge=edge, beside=old)
-    new.ready()
-    peer = new.client(
+    edge = f'{ALWAYS_HAND_OVER}[xmpp]\nlisten = "127.0.0.1:{port}"\nmechanisms = ["ANONYMOUS"]\n'
+    old = deployment.start(edge=edge)
+    new = deployment.start(edge=edge, same_port_as=old)
+    new.wait_until_ready()
+    peer = new.connect(
         b"<stream:stream xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams' "
         b"to='localhost' version='1.0'>",
         port,
     )
-    assert b"features" in peer.until(b"</stream:features>")
+    assert b"features" in peer.read_until(b"</stream:features>")
     assert old.stop() == 0
 
 
 def test_balancer_starts_with_learned_state_of_the_last_one() -> None:
-    first = Driver(PLAIN, line(1), line(2, started_ns=5), line(3))
+    first = BalancerHarness(
+        BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2, started_ns=5), endpoint_entry(3)
+    )
     for _ in range(6):
-        first.open()
-    first.report(1, 0.5, 8.0)
-    first.report(2, 0.4, 8.0)
-    first.give(HealthCheckCompleted(3, AttemptResult.TIMEOUT, 1, ()))
+        first.establish_request()
+    first.report_load(1, 0.5, 8.0)
+    first.report_load(2, 0.4, 8.0)
+    first.handle(HealthCheckCompleted(3, AttemptResult.TIMEOUT, 1, ()))
     memory = first.balancer.learned_state()
-    second = Driver(PLAIN, line(1), line(2, started_ns=6), line(3), line(4))
-    second.now = first.now
-    second.give(memory)
+    second = BalancerHarness(
+        BALANCER_SETTINGS,
+        endpoint_entry(1),
+        endpoint_entry(2, started_ns=6),
+        endpoint_entry(3),
+        endpoint_entry(4),
+    )
+    second.now_ns = first.now_ns
+    second.handle(memory)
     servers = second.balancer.state.endpoints
     assert (servers[1].reported_load, servers[1].connection_capacity) == (0.5, 16.0)
     assert (
         servers[2].reported_load is None and servers[4].reported_load is None
     )  # another process, and one nobody knew
-    assert servers[3].ejected_until_ns == first.balancer.state.endpoints[3].ejected_until_ns > second.now
+    assert servers[3].ejected_until_ns == first.balancer.state.endpoints[3].ejected_until_ns > second.now_ns
     assert second.balancer.excluded_count() == 1
