--- a/puffinpost/cluster/status.py
+++ b/puffinpost/cluster/status.py
@@ -111,7 +111,7 @@
 
 def _fleet_status(summary: Summary) -> FleetStatus:
     reports = [KnownNode(*report) for report in summary.node_reports]
-    return FleetStatus(summary.nodes, summary.version_counts, summary.rejections, reports)
+    return FleetStatus(summary.node_count, summary.version_counts, summary.rejections, reports)
 
 
 def document_history(member: Member, name: str) -> dict[str, Any]:
--- a/puffinpost/consensus/election.py
+++ b/puffinpost/consensus/election.py
@@ -1,7 +1,7 @@
 """Leader election: pre-votes, votes, and the start of a leader's term (Raft, section 5.2; thesis, 9.6).
 
-`raft.Raft` calls it on an election timeout and for each message about votes. It never sends before the term
-and the vote are queued to be persisted.
+`raft.Raft` calls it on an election timeout and for each vote message. The term and the vote are queued to be
+persisted before any message is queued.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def start_election(raft: RaftState, now: int, is_pre_vote: bool) -> None:
-    """Asks all voters for their votes. A pre-vote raises no term: it asks for votes in the next one."""
+    """Requests votes from all voters. A pre-vote does not increment the term: it is for the next term."""
     raft.role, raft.leader, raft.is_pre_vote = Role.CANDIDATE, "", is_pre_vote
     if not is_pre_vote:
         raft.set_hard_state(raft.persistent_state.term + 1, raft.name)
@@ -39,15 +39,15 @@
         raft.set_hard_state(term, sender)
         raft.reset_election_timeout(now)
     if request.is_pre_vote and request.term <= term:
-        # The candidate learns of the newer term, without which it could never be elected.
+        # The reply tells the candidate the newer term, without which it could never be elected.
         raft.send(sender, RequestVoteReply(term, False))
     else:
         raft.send(sender, RequestVoteReply(request.term, granted, request.is_pre_vote))
 
 
 def _has_current_log(raft: RaftState, request: RequestVote) -> bool:
-    own = (raft.last_log_term(), raft.log.last_index)
-    return (request.last_log_term, request.last_log_index) >= own
+    local_position = (raft.last_log_term(), raft.log.last_index)
+    return (request.last_log_term, request.last_log_index) >= local_position
 
 
 def _grants_vote(raft: RaftState, sender: str, request: RequestVote) -> bool:
@@ -56,16 +56,16 @@
 
 
 def _grants_pre_vote(raft: RaftState, request: RequestVote, now: int) -> bool:
-    """Denied while a leader is heard, which protects it from a voter that returns from a partition."""
-    silent_ns = now - raft.leader_contact_ns
-    leader_lost = (
-        raft.role is not Role.LEADER and silent_ns >= MIN_ELECTION_TIMEOUT * raft.heartbeat_interval_ns
+    """Denies a pre-vote while a leader is in contact: a voter back from a partition must not depose it."""
+    since_contact_ns = now - raft.leader_contact_ns
+    leader_timed_out = (
+        raft.role is not Role.LEADER and since_contact_ns >= MIN_ELECTION_TIMEOUT * raft.heartbeat_interval_ns
     )
-    return _has_current_log(raft, request) and request.term > raft.persistent_state.term and leader_lost
+    return _has_current_log(raft, request) and request.term > raft.persistent_state.term and leader_timed_out
 
 
 def on_request_vote_reply(raft: RaftState, sender: str, reply: RequestVoteReply, now: int) -> None:
-    """Counts a vote of the election that is under way; any other is late."""
+    """Counts a vote in the current election; ignores votes of earlier ones."""
     if raft.role is not Role.CANDIDATE or not reply.granted or reply.is_pre_vote != raft.is_pre_vote:
         return
     if reply.term == raft.persistent_state.term + reply.is_pre_vote:
@@ -88,6 +88,6 @@
     raft.match_index = {}
     raft.next_index = {name: raft.log.last_index + 1 for name in raft.log.voters()}
     raft.term_start_index = raft.append(Entry(raft.persistent_state.term, Noop()))
-    # Whoever voted followed no newer leader when the votes were requested; later is not known.
+    # The nodes that voted followed no newer leader when the votes were requested; later is not known.
     raft.acknowledged_ns = dict.fromkeys(raft.votes_received, raft.election_started_ns)
     broadcast_entries(raft, now)
--- a/puffinpost/consensus/log_replication.py
+++ b/puffinpost/consensus/log_replication.py
@@ -16,7 +16,7 @@
 
 
 def broadcast_entries(raft: RaftState, now: int) -> None:
-    """Sends each voter and learner the entries that it lacks; with none, it is a heartbeat."""
+    """Sends each voter and learner the entries that it is missing; without any, a heartbeat."""
     raft.heartbeat_due_ns = now + raft.heartbeat_interval_ns
     for name in raft.log.voters() | raft.learners:
         if name != raft.name:
@@ -27,7 +27,7 @@
     next_index = raft.next_index.setdefault(name, raft.log.last_index + 1)
     prev_log_term = raft.log.term(next_index - 1)
     term, snapshot = raft.persistent_state.term, raft.log.snapshot
-    if prev_log_term is None:  # the entry before is only in the snapshot
+    if prev_log_term is None:  # the preceding entry is only in the snapshot
         message = InstallSnapshot(term, snapshot.index, snapshot.term, snapshot.voters, snapshot.state, now)
         raft.send(name, message)
         return
@@ -36,7 +36,7 @@
 
 
 def on_append_entries_reply(raft: RaftState, sender: str, reply: AppendEntriesReply, now: int) -> None:
-    """Moves a follower's indexes, and sends it what it still lacks."""
+    """Updates a follower's indexes, and sends it the entries that it is still missing."""
     if raft.role is not Role.LEADER or reply.term != raft.persistent_state.term:
         return
     raft.acknowledged_ns[sender] = max(raft.acknowledged_ns.get(sender, 0), reply.sent_at_ns)
@@ -59,14 +59,14 @@
     )
     if index > raft.commit_index and raft.log.term(index) == raft.persistent_state.term:
         raft.commit_index = index
-        raft.heartbeat_due_ns = 0  # followers learn of it at the next tick
+        raft.heartbeat_due_ns = 0  # followers receive the new commit index at the next tick
 
 
 # --- follower -----------------------------------------------------------------------------------------
 
 
 def on_append_entries(raft: RaftState, sender: str, request: AppendEntries, now: int) -> None:
-    """Takes a leader's entries, where the log matches at the entry before them."""
+    """Stores a leader's entries if the log matches at the entry before them."""
     if not _accept_leader(raft, sender, request, now):
         return
     log, prev_log_index = raft.log, request.prev_log_index
@@ -82,13 +82,13 @@
 
 
 def _store_entry(raft: RaftState, index: int, entry: Entry) -> None:
-    """Appends a leader's entry, in place of conflicting ones of an earlier term."""
+    """Appends a leader's entry, replacing conflicting entries of an earlier term."""
     if index <= raft.log.snapshot.index:
-        return  # committed: a snapshot holds nothing else
-    known_term = raft.log.term(index)
-    if known_term == entry.term:
+        return  # already committed: a snapshot contains committed entries only
+    existing_term = raft.log.term(index)
+    if existing_term == entry.term:
         return
-    if known_term is not None:
+    if existing_term is not None:
         raft.log.truncate_from(index)
         raft.truncation_count += 1
         raft.stable_index = min(raft.stable_index, index - 1)
@@ -96,7 +96,7 @@
 
 
 def on_install_snapshot(raft: RaftState, sender: str, request: InstallSnapshot, now: int) -> None:
-    """Takes a leader's snapshot in place of the log, unless as much is committed here."""
+    """Replaces the log with a leader's snapshot, unless this node has committed as much."""
     if not _accept_leader(raft, sender, request, now):
         return
     index = request.last_included_index
@@ -110,7 +110,7 @@
 
 
 def _accept_leader(raft: RaftState, sender: str, request: AppendEntries | InstallSnapshot, now: int) -> bool:
-    """Follows the sender, unless its term is over."""
+    """Follows the sender, unless its term is outdated; returns whether it does."""
     term = raft.persistent_state.term
     if request.term < term:
         raft.send(sender, AppendEntriesReply(term, False, 0, request.sent_at_ns))
--- a/puffinpost/consensus/messages.py
+++ b/puffinpost/consensus/messages.py
@@ -1,8 +1,8 @@
 """The messages between the nodes of a cluster, and the commands in the replicated log.
 
-All are msgspec structs in MessagePack; tags and the order of fields are the wire form and the form on disk,
-the names of classes and fields are not. Terms, log indexes and version numbers start at 1, with 0 for none;
-times are ns of the clock of the node that sent them, and only that node compares them.
+All are msgspec structs in MessagePack. Tags and the order of fields define the format on the wire and on
+disk; the names of classes and fields do not. Terms, log indexes and version numbers start at 1; 0 stands for
+none. Times are ns of the sending node's clock, and only that node compares them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ProposalOutcome(StrEnum):
-    """What became of a proposal, as it is written in the log and shown to operators."""
+    """The outcome of a proposal, as it is stored in the log and shown to operators."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -45,8 +45,8 @@
 class Propose(MessageBase, tag="Propose"):
     """A proposal of a document's next version.
 
-    ``proposal_id`` is chosen by the proposer and makes a repeated proposal idempotent. ``share``: the part
-    of the nodes that acts on the version first; 1: all at once.
+    ``proposal_id`` is chosen by the proposer and makes a repeated proposal idempotent. ``share``: the
+    fraction of the nodes that act on the version first; 1: all nodes at once.
     """
 
     proposal_id: str
@@ -61,8 +61,8 @@
 class Decide(MessageBase, tag="Decide"):
     """The leader's decision on a proposal.
 
-    ``outcome`` is a `ProposalOutcome` other than ``staged``; one that a later release adds is ignored, so
-    it is read as text.
+    ``outcome`` is a `ProposalOutcome` other than ``staged``. It is decoded as text, so that an outcome that
+    a later release adds can be ignored.
     """
 
     proposal_id: str
@@ -74,7 +74,7 @@
 
 
 def command_proposal_id(command: Command) -> str:
-    """The proposal that a command is about; empty where it is about none."""
+    """Returns the id of the proposal that a command belongs to; empty if it belongs to none."""
     return command.proposal_id if isinstance(command, Propose | Decide) else ""
 
 
@@ -89,7 +89,7 @@
 
 
 class RequestVote(MessageBase, tag="Vote"):
-    """RequestVote. ``is_pre_vote``: sent before the term is raised (Ongaro's thesis, section 9.6)."""
+    """RequestVote. ``is_pre_vote``: sent before the term is incremented (Ongaro's thesis, section 9.6)."""
 
     term: int
     last_log_index: int
@@ -106,7 +106,7 @@
 
 
 class AppendEntries(MessageBase, tag="Append"):
-    """AppendEntries, also as heartbeat. ``sent_at_ns``: the leader's clock, which the reply returns."""
+    """AppendEntries, also used as a heartbeat. ``sent_at_ns``: the leader's clock; the reply returns it."""
 
     term: int
     prev_log_index: int
@@ -117,7 +117,7 @@
 
 
 class InstallSnapshot(MessageBase, tag="Install"):
-    """InstallSnapshot in one piece, as documents are small."""
+    """InstallSnapshot. It is sent in one piece, since documents are small."""
 
     term: int
     last_included_index: int
@@ -130,7 +130,7 @@
 class AppendEntriesReply(MessageBase, tag="Appended"):
     """The reply to ``AppendEntries`` and ``InstallSnapshot``.
 
-    ``match_index`` without ``success`` is the index after which the leader tries next.
+    ``match_index`` without ``success`` is the index after which the leader retries.
     """
 
     term: int
@@ -142,7 +142,7 @@
 RaftMessage: TypeAlias = RequestVote | RequestVoteReply | AppendEntries | InstallSnapshot | AppendEntriesReply
 
 
-# --- leases: how followers learn of versions, and until when they may act on them ----------------------
+# --- leases: how followers receive versions, and until when they may act on them -----------------------
 
 
 class Rejection(NamedTuple):
@@ -154,7 +154,7 @@
 
 
 class NodeReport(NamedTuple):
-    """The state of one node in words, and the age of that report."""
+    """The state of one node as text, and the age of that report."""
 
     node: str
     description: str
@@ -164,11 +164,11 @@
 class Summary(MessageBase, tag="Summary"):
     """What a node and all of its followers report. Its size is bounded, whatever their number.
 
-    ``rejections`` and ``node_reports`` hold a few of all. The two counts are of responses to clients, given
-    by nodes that act on a staged version.
+    ``rejections`` and ``node_reports`` contain a limited number of all. ``response_count`` and
+    ``failure_count`` are of responses to clients, sent by nodes that act on a staged version.
     """
 
-    nodes: int = 0
+    node_count: int = 0
     ready_counts: dict[str, int] = {}  # by proposal: nodes that can act on it
     rejections: list[Rejection] = []
     version_counts: dict[str, int] = {}  # by document and version: nodes that act on it
@@ -178,10 +178,10 @@
 
 
 class LeaseRequest(MessageBase, tag="Renew"):
-    """A follower asks its source to confirm that its documents are current.
+    """A follower's request to its source to confirm that its documents are current.
 
-    ``requested_at_ns``: the follower's clock, which the reply returns. ``document_indexes``: by document,
-    the index of its last change.
+    ``requested_at_ns``: the follower's clock; the reply returns it. ``document_indexes``: by document, the
+    log index of its last change.
     """
 
     requested_at_ns: int
@@ -191,19 +191,19 @@
 
 
 class ProposalResult(NamedTuple):
-    """A proposal's outcome, and the problem that led to it."""
+    """A proposal's outcome, and the problem that caused it, if any."""
 
     outcome: str
     problem: str
 
 
 class LeaseReply(MessageBase, tag="Lease"):
-    """The follower's documents, with ``changed_documents``, are current for ``remaining_ns`` from its
-    request.
+    """The reply to ``LeaseRequest``.
 
-    ``requested_at_ns`` 0: a notification of changed documents that was not requested and extends no lease.
-    ``remaining_ns`` 0: the source holds no lease. ``at_capacity``: the source accepts no more followers.
-    ``outcomes``: the results of the requested proposals, by id.
+    It confirms that the follower's documents, updated with ``changed_documents``, are current for
+    ``remaining_ns`` from its request. ``requested_at_ns`` 0: a notification of changed documents that was not
+    requested and extends no lease. ``remaining_ns`` 0: the source holds no lease. ``at_capacity``: the source
+    accepts no more followers. ``outcomes``: the results of the proposals in the request, by id.
     """
 
     requested_at_ns: int
@@ -217,9 +217,8 @@
 class Hello(MessageBase, tag="Hello"):
     """The first frame on a link, in each direction.
 
-    ``can_vote``: the node is a voter by its configuration and has a store. ``voters``: as the node knows
-    them; empty until it has taken part in a bootstrap. ``capabilities``: further protocols that it
-    understands.
+    ``can_vote``: the node is configured as a voter and has a store. ``voters``: the voters in the node's log;
+    empty until it has taken part in a bootstrap. ``capabilities``: further protocols that it supports.
     """
 
     cluster: str
@@ -238,7 +237,7 @@
 
 
 class QueryKind(StrEnum):
-    """What an operator asks of a node."""
+    """What an operator's query asks for."""
 
     STATUS = "status"
     DOCUMENT = "document"
--- a/puffinpost/consensus/output.py
+++ b/puffinpost/consensus/output.py
@@ -1,4 +1,4 @@
-"""What the state machines want done: `Ready` of the voter, `Output` of the whole member.
+"""What the driver has to write and send: `Ready` is the output of the voter, `Output` that of the member.
 
 The driver writes it to disk, then sends its messages, and then calls `persisted`.
 """
@@ -15,9 +15,9 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What a voter has changed since the last `take_ready`, and the messages that go out once it is on disk.
+    """What a voter changed since the last `take_ready`, and the messages to send once that is on disk.
 
-    ``first_changed_index``: entries from there on replace what is on disk; None: no entry changed.
+    ``first_changed_index``: entries from this index on replace those on disk; None: no entry changed.
     """
 
     hard_state: HardState | None = None
@@ -33,7 +33,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """A lease that counts from the request for it. Times in ns of this node's clock."""
+    """A lease, measured from the request for it. Times are ns of this node's clock."""
 
     requested_at_ns: int = 0
     remaining_ns: int = 0
@@ -41,9 +41,9 @@
 
 @dataclass(slots=True)
 class Output:
-    """What a member wants done. A reply goes to the link or node that the caller of `receive` named.
+    """What a member has to write and send. A reply goes to the ``reply_to`` of `receive`, or to the sender.
 
-    ``last_index`` and ``truncation_count`` say how much of the log is on disk once this is written.
+    ``last_index`` and ``truncation_count`` tell how much of the log is on disk once this is written.
     """
 
     ready: Ready
--- a/puffinpost/consensus/raft.py
+++ b/puffinpost/consensus/raft.py
@@ -1,9 +1,8 @@
 """Raft among the voters as published (D. Ongaro, J. Ousterhout 2014, figure 2), without I/O.
 
-`member` drives it with messages and the time, and persists what `take_ready` returns before its messages go
-out. Beyond figure 2 it has pre-votes and a leader that steps down without a quorum (Ongaro's thesis, 9.6
-and 6.2), changes of one voter at a time (4.1), and an entry of its own that each leader commits first
-(6.4).
+`member` drives it with messages and the time. The output of `take_ready` is persisted before its messages are
+sent. Beyond figure 2 it has pre-votes and a leader that steps down without a quorum (Ongaro's thesis, 9.6
+and 6.2), changes of one voter at a time (4.1), and a no-op entry that each leader commits first (6.4).
 """
 
 from __future__ import annotations
@@ -33,26 +32,26 @@
 
 
 class Raft(RaftState):
-    """One voter. Calls with ``now`` take ns of this node's clock."""
+    """One voter. ``now`` is always in ns of this node's clock."""
 
     def take_ready(self) -> Ready:
-        """What is to be persisted and then sent, since the last call."""
+        """Returns what has to be persisted and then sent, since the last call."""
         ready, self.ready = self.ready, Ready()
         return ready
 
     def next_due_ns(self) -> int:
-        """When `tick` has something to do next."""
+        """Returns when `tick` has something to do next."""
         return self.heartbeat_due_ns if self.role is Role.LEADER else self.election_due_ns
 
     def persisted(self, last_index: int, truncation_count: int) -> None:
-        """Entries up to an index are on disk, of the log as it was after so many truncations."""
+        """Records that the log as of ``truncation_count`` truncations is on disk up to an index."""
         if truncation_count == self.truncation_count:
             self.stable_index = max(self.stable_index, min(last_index, self.log.last_index))
         if self.role is Role.LEADER:
             advance_commit_index(self)
 
     def tick(self, now: int) -> None:
-        """Sends heartbeats, steps down or starts an election, as the time asks."""
+        """Sends heartbeats, steps down or starts an election, whichever is due."""
         if self.role is Role.LEADER:
             self._tick_leader(now)
         elif now >= self.election_due_ns and self.is_voter():
@@ -68,7 +67,7 @@
             broadcast_entries(self, now)
 
     def receive(self, sender: str, message: RaftMessage, now: int) -> None:
-        """Handles a message of another voter, whose identity the caller has checked."""
+        """Handles a message from another voter, whose identity the caller has checked."""
         is_pre_vote = isinstance(message, RequestVote | RequestVoteReply) and message.is_pre_vote
         if message.term > self.persistent_state.term and not is_pre_vote:
             self.become_follower(message.term, "", now)
@@ -85,7 +84,7 @@
                 on_append_entries_reply(self, sender, message, now)
 
     def propose(self, command: Command, now: int) -> int | None:
-        """Appends a command to the log; its index, or None where this node does not lead."""
+        """Appends a command to the log; returns its index, or None if this node is not the leader."""
         if self.role is not Role.LEADER:
             return None
         index = self.append(Entry(self.persistent_state.term, command))
@@ -93,6 +92,6 @@
         return index
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replaces entries up to an applied index by a snapshot."""
+        """Replaces the entries up to an applied index with a snapshot."""
         self.log.compact(index, state)
         self.ready.snapshot = self.log.snapshot
--- a/puffinpost/consensus/raft_state.py
+++ b/puffinpost/consensus/raft_state.py
@@ -1,7 +1,7 @@
-"""The state of one Raft voter, with what elections and log replication have in common.
+"""The state of one Raft voter, and the operations that elections and log replication share.
 
-`election` and `log_replication` are functions over it, and `raft.Raft` is the whole voter. Times are ns of
-this node's own clock, which only has to go forward.
+`election` and `log_replication` contain functions on it, and `raft.Raft` is the complete voter. Times are ns
+of this node's own clock, which only has to be monotonic.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from puffinpost.consensus.messages import Entry, Message, Voters
 from puffinpost.consensus.output import Ready
 
-MIN_ELECTION_TIMEOUT = 5  # heartbeat intervals; the timeout is drawn between this and twice as many
-CONTACT_BEFORE_START = 20  # heartbeat intervals: at its start a voter has heard no leader for long
+MIN_ELECTION_TIMEOUT = 5  # heartbeat intervals; the timeout is drawn between this and twice this
+INITIAL_CONTACT_AGE = 20  # heartbeat intervals; a voter starts as if its last leader contact were this old
 
 
 class Role(StrEnum):
-    """What a voter is in its term."""
+    """A voter's role in its term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -27,7 +27,7 @@
 
 
 def majority_value(values: Iterable[int]) -> int:
-    """The highest value that a majority has reached; 0 where there are no values."""
+    """Returns the highest value that a majority has reached; 0 if there are no values."""
     descending = sorted(values, reverse=True)
     return descending[len(descending) // 2] if descending else 0
 
@@ -35,8 +35,8 @@
 class RaftState:
     """A voter's persistent and volatile state (Raft, figure 2).
 
-    ``learners`` get the log before they vote, by the identity of their store. A voter, too, counts by its
-    identity, so that one that has lost its store cannot vote twice.
+    ``learners`` receive the log before they may vote. Learners and voters are mapped to the identity of their
+    store, so that a voter that has lost its store cannot vote twice.
     """
 
     def __init__(
@@ -54,17 +54,17 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self.commit_index = self.log.snapshot.index
-        self.stable_index = self.log.last_index  # the last entry that is on disk
-        self.truncation_count = 0  # how often entries were replaced by a leader's
+        self.stable_index = self.log.last_index  # the last index that is on disk
+        self.truncation_count = 0  # how often entries were replaced by a leader's entries or snapshot
         self.votes_received: set[str] = set()
         self.election_started_ns = now
-        self.is_pre_vote = False  # the votes of this election are pre-votes
+        self.is_pre_vote = False  # whether the current election is a pre-vote
         self.match_index: dict[str, int] = {}
         self.next_index: dict[str, int] = {}
-        self.acknowledged_ns: dict[str, int] = {}  # by voter: when the last answered message was sent
+        self.acknowledged_ns: dict[str, int] = {}  # by voter: send time of the last answered message
         self.learners: dict[str, str] = {}
         self.term_start_index = 0  # the index of this leader's first entry
-        self.leader_contact_ns = now - CONTACT_BEFORE_START * heartbeat_interval_ns
+        self.leader_contact_ns = now - INITIAL_CONTACT_AGE * heartbeat_interval_ns
         self.heartbeat_due_ns = now
         self.ready = Ready()
         self.reset_election_timeout(now)
@@ -76,17 +76,17 @@
         return self.log.voters().get(self.name) == self.identity
 
     def last_log_term(self) -> int:
-        """The term of the last entry; 0 in an empty log."""
+        """Returns the term of the last entry; 0 if the log is empty."""
         return self.log.term(self.log.last_index) or 0
 
     def quorum_contact_ns(self, now: int) -> int:
-        """The last moment at which a majority of the voters is known to have followed this leader."""
+        """Returns the latest time at which a majority of the voters is known to have followed this leader."""
         return majority_value(
             now if name == self.name else self.acknowledged_ns.get(name, 0) for name in self.log.voters()
         )
 
     def has_committed_in_term(self) -> bool:
-        """Whether this leader has committed an entry of its own term, and so all before it (thesis, 6.4)."""
+        """Whether this leader has committed an entry of its own term and so all before it (thesis, 6.4)."""
         return self.role is Role.LEADER and self.commit_index >= self.term_start_index
 
     def has_pending_voter_change(self) -> bool:
@@ -97,17 +97,17 @@
     # --- transitions ----------------------------------------------------------------------------------
 
     def reset_election_timeout(self, now: int) -> None:
-        """Draws a new election timeout, beginning now."""
-        shortest = self.heartbeat_interval_ns * MIN_ELECTION_TIMEOUT
-        self.election_due_ns = now + shortest + self.rng.randrange(shortest + 1)
+        """Draws a new election timeout, which starts now."""
+        min_timeout_ns = self.heartbeat_interval_ns * MIN_ELECTION_TIMEOUT
+        self.election_due_ns = now + min_timeout_ns + self.rng.randrange(min_timeout_ns + 1)
 
     def set_hard_state(self, term: int, voted_for: str) -> None:
-        """Changes the term and the vote, to be persisted before the next message goes out."""
+        """Changes the term and the vote, which are persisted before the next message is sent."""
         self.persistent_state.term, self.persistent_state.voted_for = term, voted_for
         self.ready.hard_state = HardState(term, voted_for)
 
     def become_follower(self, term: int, leader: str, now: int) -> None:
-        """Follows ``leader`` in a term; empty: none is known yet."""
+        """Follows ``leader`` in a term; empty: its leader is not known yet."""
         if term > self.persistent_state.term:
             self.set_hard_state(term, "")
         if leader or self.role is not Role.FOLLOWER:
@@ -115,12 +115,12 @@
         self.role, self.leader = Role.FOLLOWER, leader
 
     def append(self, entry: Entry) -> int:
-        """Appends an entry to the log, to be persisted; its index."""
+        """Appends an entry to the log, marks it to be persisted and returns its index."""
         index = self.log.append(entry)
         first = self.ready.first_changed_index
         self.ready.first_changed_index = index if first is None else min(index, first)
         return index
 
     def send(self, name: str, message: Message) -> None:
-        """Queues a message until all changes before it are persisted."""
+        """Queues a message, which is sent once all earlier changes are persisted."""
         self.ready.messages.append((name, message))
--- a/puffinpost/consensus/rollout.py
+++ b/puffinpost/consensus/rollout.py
@@ -1,6 +1,6 @@
-"""The leader's decisions about proposed and staged document versions, made from the fleet's summary.
+"""The leader's decisions about pending and staged document versions, based on the fleet's summary.
 
-`leadership` makes a controller when its node becomes leader and appends the decisions to the log. The
+`leadership` creates a controller when its node becomes leader and appends the decisions to the log. The
 controller never changes a document itself.
 """
 
@@ -12,16 +12,16 @@
 from puffinpost.consensus.messages import Decide, ProposalOutcome, Summary
 from puffinpost.consensus.retained_classes import RetainedClasses
 
-MIN_STAGED_RESPONSES = 20  # fewer responses say too little to withdraw a staged version early
+MIN_STAGED_RESPONSES = 20  # fewer are too small a sample to withdraw a staged version early
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutTimeouts:
-    """How long the leader waits, in ns of its own clock, and the failures that it accepts."""
+    """How long the leader waits, in ns of its own clock, and which share of failures it accepts."""
 
-    report_ns: int  # every reachable node has reported within this time
-    decide_ns: int  # a proposal that is still undecided after this time is rejected
-    stage_ns: int  # how long a staged version is observed before it is promoted
+    report_timeout_ns: int  # every reachable node has reported within this time
+    decision_timeout_ns: int  # a proposal that is still undecided after this time is rejected
+    staging_duration_ns: int  # how long a staged version is observed before it is promoted
     max_failure_share: float  # of the responses from nodes that act on a staged version
 
 
@@ -34,7 +34,7 @@
         self.unapplied_decisions: set[str] = set()  # proposals with a decision that is not applied yet
 
     def decisions(self, documents: Documents, summary: Summary, now: int) -> list[Decide]:
-        """The decisions to append to the log now; each proposal is decided once."""
+        """Returns the decisions to append to the log now; each proposal is decided once."""
         decided = []
         for document in documents.documents.values():
             decision = self._decide_pending(document, summary, now) or self._decide_staged(
@@ -46,7 +46,7 @@
         return decided
 
     def on_applied(self, proposal_id: str) -> None:
-        """An entry about the proposal was applied: from now on a staged version is timed anew."""
+        """Forgets a proposal when an entry about it is applied, so that a staged version is timed anew."""
         self.unapplied_decisions.discard(proposal_id)
         self.first_seen_ns.pop(proposal_id, None)
 
@@ -61,18 +61,21 @@
         problem = self._rejection(document, pending, summary, now)
         if problem:
             return Decide(proposal_id, ProposalOutcome.REJECTED, problem)
-        if age < self.timeouts.report_ns:
+        if age < self.timeouts.report_timeout_ns:
             return None  # some reachable nodes may not have reported yet
         ready = summary.ready_counts.get(proposal_id, 0)
-        if ready >= summary.nodes:
+        if ready >= summary.node_count:
             return Decide(proposal_id, ProposalOutcome.ACCEPTED)
-        if age > self.timeouts.decide_ns:
-            problem = f"{summary.nodes - ready} of {summary.nodes} nodes did not say that they can act on it"
+        if age > self.timeouts.decision_timeout_ns:
+            problem = (
+                f"{summary.node_count - ready} of {summary.node_count} nodes"
+                " did not say that they can act on it"
+            )
             return Decide(proposal_id, ProposalOutcome.REJECTED, problem)
         return None
 
     def _rejection(self, document: Document, pending: Version, summary: Summary, now: int) -> str:
-        """Why the proposal is rejected at once; empty where nothing speaks against it."""
+        """Returns why the proposal is rejected at once; empty if it is not."""
         if document.name == SETTINGS:
             before = document.active.content if document.active is not None else None
             violation = self.retained_classes.violation(before, pending.content, now)
@@ -93,7 +96,7 @@
         if too_many_failures and responses >= MIN_STAGED_RESPONSES:
             problem = f"{failures} of {responses} answers where it is staged were refused or failed"
             return Decide(staged.proposal_id, ProposalOutcome.WITHDRAWN, problem)
-        if age < self.timeouts.stage_ns:
+        if age < self.timeouts.staging_duration_ns:
             return None
         if too_many_failures:
             problem = "refusals among too few answers where it is staged"
--- a/puffinpost/consensus/summary.py
+++ b/puffinpost/consensus/summary.py
@@ -1,6 +1,7 @@
-"""Summaries of what nodes report, combined at each hop on the way to the leader.
+"""Summaries of node reports, combined at each hop on the way to the leader.
 
-`member` builds its own part and combines it with its followers'. A summary's size never grows with the fleet.
+`member` creates its own report and combines it with the summaries of its followers. The size of a summary
+does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from puffinpost.consensus.messages import NodeReport, Rejection, Summary
 
 MAX_REJECTIONS = 8
-MAX_NODE_REPORTS = 64  # nodes that are behind come first
+MAX_NODE_REPORTS = 64  # nodes without a lease or a current version come first
 NO_LEASE = "no lease"
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class StagedResponseCounts:
-    """Final responses to clients since this node began to act on a staged version."""
+    """Counts final responses to clients since this node began to act on a staged version."""
 
     def __init__(self) -> None:
         self.proposal_id = ""
@@ -30,8 +31,8 @@
         self.response_count += 1
         self.failure_count += failed
 
-    def watch(self, proposal_id: str) -> None:
-        """Starts at zero for another staged version; empty: this node acts on none."""
+    def track(self, proposal_id: str) -> None:
+        """Selects the staged version to count for, and resets the counts if it changes; empty: none."""
         if proposal_id != self.proposal_id:
             self.proposal_id = proposal_id
             self.response_count = self.failure_count = 0
@@ -40,7 +41,7 @@
 def summarize_node(
     name: str, active_versions: ActiveVersions, response_counts: StagedResponseCounts, now: int
 ) -> Summary:
-    """The report of one node alone."""
+    """Returns the report of one node alone."""
     documents = active_versions.documents
     ready_counts, rejections = _validate_pending(name, active_versions)
     staged = [document.staged.proposal_id for document in documents.values() if document.staged is not None]
@@ -50,7 +51,7 @@
         if (version := active_versions.version(document)) is not None
     }
     proposal_ids = (version.proposal_id for version in acting_on.values())
-    response_counts.watch(next((proposal_id for proposal_id in proposal_ids if proposal_id in staged), ""))
+    response_counts.track(next((proposal_id for proposal_id in proposal_ids if proposal_id in staged), ""))
     version_counts = {f"{document}@{version.number}": 1 for document, version in acting_on.items()}
     return Summary(
         1,
@@ -79,7 +80,7 @@
 
 
 def _describe(active_versions: ActiveVersions, version_counts: dict[str, int], now: int) -> str:
-    remaining_ms = active_versions.lease.remaining_ns(now) // MS
+    remaining_ms = active_versions.lease.remaining_ns(now) // NS_PER_MS
     lease = f"lease {remaining_ms} ms" if remaining_ms else NO_LEASE
     text = f"{' '.join(sorted(version_counts))} {lease}"
     if active_versions.problems:
@@ -89,17 +90,17 @@
 
 
 def combine_summaries(summaries: list[tuple[Summary, int]], current: dict[str, str]) -> Summary:
-    """One summary of many, each given with its age in ms.
+    """Combines summaries, each given with its age in ms.
 
-    ``current``: the version in force of each document, as ``document@number``; reports of nodes that lack
-    one of them are retained first.
+    ``current``: the version of each document that this node acts on, as ``document@number``. Reports of nodes
+    that lack one of these versions or a lease are retained first.
     """
     ready_counts, version_counts = Counter[str](), Counter[str]()
     rejections: list[Rejection] = []
     reports: list[NodeReport] = []
-    nodes = responses = failures = 0
+    node_count = responses = failures = 0
     for summary, age_ms in summaries:
-        nodes += summary.nodes
+        node_count += summary.node_count
         responses += summary.response_count
         failures += summary.failure_count
         ready_counts.update(summary.ready_counts)
@@ -110,13 +111,13 @@
             for report in summary.node_reports
         ]
 
-    def order(report: NodeReport) -> tuple[bool, str]:
-        has_all = all(version in report.description for version in current.values())
-        return has_all and NO_LEASE not in report.description, report.node
+    def sort_key(report: NodeReport) -> tuple[bool, str]:
+        has_current_versions = all(version in report.description for version in current.values())
+        return has_current_versions and NO_LEASE not in report.description, report.node
 
-    reports.sort(key=order)
+    reports.sort(key=sort_key)
     return Summary(
-        nodes,
+        node_count,
         dict(ready_counts),
         rejections[:MAX_REJECTIONS],
         dict(version_counts),
