--- a/puffinpost/consensus/active_versions.py
+++ b/puffinpost/consensus/active_versions.py
@@ -1,6 +1,6 @@
 """The versions that this node acts on, and whether it may act on them at a given moment.
 
-`member` updates them once a change is on disk. Callers ask when they start a request, never ahead of time.
+`member` updates them once a change is on disk. Callers check at the start of each request, never in advance.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class LostLeasePolicy(StrEnum):
-    """What a node without a lease starts, as its configuration file has it."""
+    """Which requests a node without a lease starts; the values are those of the configuration file."""
 
     RETAINED_CLASSES = "narrow"
     NOTHING = "refuse"
@@ -26,23 +26,23 @@
     """One node's documents and its lease.
 
     ``validate`` returns the problem that keeps this node from acting on a document's content, or nothing.
-    ``on_lost`` is the text of a `LostLeasePolicy`.
+    ``lost_lease_policy`` is the value of a `LostLeasePolicy`.
     """
 
-    def __init__(self, node: str, on_lost: str, validate: Callable[[str, Any], str]) -> None:
+    def __init__(self, node: str, lost_lease_policy: str, validate: Callable[[str, Any], str]) -> None:
         self.node, self.validate = node, validate
-        self.lost_lease_policy = LostLeasePolicy(on_lost)
+        self.lost_lease_policy = LostLeasePolicy(lost_lease_policy)
         self.lease = Lease()
         self.documents: dict[str, Document] = {}
-        self.problems: dict[str, str] = {}  # by document: why this node cannot act on its version in force
+        self.problems: dict[str, str] = {}  # by document: why this node cannot act on its version
         self.change_listeners: list[Callable[[str, Version], None]] = []
 
     def update(self, document: Document) -> bool:
-        """Takes a document from the log or from a source; whether it is newer than the known one."""
-        known = self.documents.get(document.name)
-        if known is not None and known.changed_index >= document.changed_index:
+        """Stores a document from the log or a source; returns whether it is newer than the stored one."""
+        existing = self.documents.get(document.name)
+        if existing is not None and existing.changed_index >= document.changed_index:
             return False
-        before = version_for_node(self.node, known) if known is not None else None
+        before = version_for_node(self.node, existing) if existing is not None else None
         self.documents[document.name] = document
         after = version_for_node(self.node, document)
         if after is not None and (before is None or after.number != before.number):
@@ -59,16 +59,16 @@
             listener(name, version)
 
     def version(self, name: str = SETTINGS) -> Version | None:
-        """The version of a document that this node acts on."""
+        """Returns the version of a document that this node acts on."""
         document = self.documents.get(name)
         return version_for_node(self.node, document) if document is not None else None
 
     def changed_indexes(self) -> dict[str, int]:
-        """By document, the log index of its last change."""
+        """Returns by document the log index of its last change."""
         return {name: document.changed_index for name, document in self.documents.items()}
 
     def undecided_proposals(self) -> set[str]:
-        """The ids of pending and staged proposals; an empty one stands for none."""
+        """Returns the ids of pending and staged proposals; the empty id stands for none."""
         return {
             proposal_id_of(version)
             for document in self.documents.values()
@@ -76,7 +76,7 @@
         }
 
     def is_current(self, now: int) -> bool:
-        """Whether this node holds a lease and can act on all versions in force."""
+        """Whether this node holds a lease and can act on its version of every document."""
         return self.lease.is_held(now) and not self.problems
 
     def can_start(self, request_class: str, now: int) -> bool:
--- a/puffinpost/consensus/document_applier.py
+++ b/puffinpost/consensus/document_applier.py
@@ -1,4 +1,4 @@
-"""Applies a voter's committed log entries to the documents, and compacts the log behind them.
+"""Applies a voter's committed log entries to the documents, and compacts the applied log.
 
 `member` calls it after each step of the voter. Only entries that are on disk here are applied.
 """
@@ -12,19 +12,19 @@
 from puffinpost.consensus.messages import command_proposal_id
 from puffinpost.consensus.raft import Raft
 
-COMPACTION_INTERVAL = 256  # applied entries after which they are replaced by a snapshot
+COMPACTION_INTERVAL = 256  # applied entries after which the log is compacted
 
 
 class AppliedEntry(NamedTuple):
-    """An applied entry: the proposal that it is about, if any, and the document before and after."""
+    """An applied entry: the id of its proposal, if any, and the document before and after it."""
 
     proposal_id: str
     before: Document | None
-    after: Document | None  # None: no document changed
+    after: Document | None  # None: the entry changed no document
 
 
 class DocumentApplier:
-    """The documents as one voter's log makes them."""
+    """The documents that result from one voter's log."""
 
     def __init__(self, raft: Raft) -> None:
         self.raft = raft
@@ -32,7 +32,7 @@
         self.documents.state.applied_index = raft.log.snapshot.index
 
     def load_snapshot(self) -> list[Document]:
-        """Takes over a leader's snapshot that is on disk by now; the documents, if there is one."""
+        """Loads a leader's snapshot that is newer than the documents and on disk; returns its documents."""
         snapshot = self.raft.log.snapshot
         if snapshot.index <= self.documents.state.applied_index:
             return []
@@ -40,9 +40,9 @@
         return list(self.documents.documents.values())
 
     def apply_committed(self) -> Iterator[AppliedEntry]:
-        """Applies what is committed and on disk, entry by entry, and compacts the log at the end."""
+        """Applies the entries that are committed and on disk one by one, and then compacts the log if due."""
         raft, state = self.raft, self.documents.state
-        # A leader's snapshot that is ahead of the documents has to be loaded first.
+        # A leader's snapshot that is newer than the documents has to be loaded first.
         can_apply = raft.log.snapshot.index <= state.applied_index
         last_index = min(raft.commit_index, raft.stable_index) if can_apply else 0
         while state.applied_index < last_index:
--- a/puffinpost/consensus/documents.py
+++ b/puffinpost/consensus/documents.py
@@ -1,8 +1,8 @@
 """The replicated documents and their versions: the state machine that the log's commands drive.
 
-`document_applier` feeds it; every node that has applied as much of the log has the same documents. A
-document names its active and its staged version with the share of nodes that act on the latter, so that a
-staged rollout is one agreed state too.
+`document_applier` feeds it. All nodes that have applied the log up to the same index have the same documents.
+A document contains its active and its staged version, with the share of nodes that act on the latter, so that
+all nodes agree on a staged rollout too.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from puffinpost.consensus.messages import Command, Decide, ProposalOutcome, Propose
 
 SETTINGS = "settings"
-MAX_PREVIOUS_VERSIONS = 20  # of each document, for operators to inspect, compare and return to
+MAX_PREVIOUS_VERSIONS = 20  # of each document, which operators can inspect, compare and roll back to
 MAX_OUTCOMES = 256
 PENDING_OUTCOMES = (ProposalOutcome.ACCEPTED, ProposalOutcome.REJECTED)
 STAGED_OUTCOMES = (ProposalOutcome.PROMOTED, ProposalOutcome.WITHDRAWN)
@@ -25,7 +25,7 @@
 class Version(msgspec.Struct, frozen=True):
     """A version of a document. ``number``: its log index; ``hash``: see `digest`; ``share``: see `Propose`.
 
-    On disk and between nodes it is a map with the names given by ``name=``.
+    On disk and between nodes it is a map whose keys are the names given by ``name=``.
     """
 
     number: int
@@ -42,7 +42,8 @@
 class Document(msgspec.Struct, frozen=True):
     """A document. ``changed_index``: the log index of the last entry that changed it.
 
-    Nodes act on ``staged`` or on ``active``, by the staged version's share; no node acts on ``pending``.
+    Nodes act on ``staged`` or on ``active``, depending on the staged version's share; no node acts on
+    ``pending``.
     """
 
     name: str
@@ -53,7 +54,7 @@
     previous: tuple[Version, ...] = msgspec.field(default=(), name="past")
 
     def latest_number(self) -> int:
-        """The highest version number that nodes act on; it never decreases."""
+        """Returns the highest version number that nodes act on; it never decreases."""
         versions = (self.active, self.staged)
         return max((version.number for version in versions if version is not None), default=0)
 
@@ -69,7 +70,7 @@
 
 
 class DocumentsState(msgspec.Struct):
-    """All documents, as they are in a snapshot."""
+    """All documents, as they are stored in a snapshot."""
 
     applied_index: int = msgspec.field(default=0, name="applied")
     documents: dict[str, Document] = {}
@@ -77,41 +78,41 @@
 
 
 def digest(content: Any) -> str:
-    """A content's hash (BLAKE2b, 128 bits), of its JSON with sorted keys."""
+    """Returns the hash of a content (BLAKE2b, 128 bits), computed from its JSON with sorted keys."""
     return hashlib.blake2b(msgspec.json.encode(content, order="sorted"), digest_size=16).hexdigest()
 
 
 def acts_on_staged(node: str, version: Version) -> bool:
-    """Whether a node is in the share that acts on a staged version; the same answer at every node."""
+    """Whether a node is in the share that acts on a staged version; the result is the same at every node."""
     node_hash = hashlib.blake2b(f"{node}/{version.proposal_id}".encode(), digest_size=8).digest()
     return int.from_bytes(node_hash, "big") < version.share * 2.0**64
 
 
 def version_for_node(node: str, document: Document) -> Version | None:
-    """The version that a node acts on."""
+    """Returns the version that a node acts on."""
     staged = document.staged
     return staged if staged is not None and acts_on_staged(node, staged) else document.active
 
 
 def proposal_id_of(version: Version | None) -> str:
-    """The proposal that a version comes from; empty where there is no version."""
+    """Returns the id of the proposal that a version comes from; empty if there is no version."""
     return version.proposal_id if version is not None else ""
 
 
 class Documents:
-    """The state machine. ``apply`` takes the log's commands in order, each once."""
+    """The state machine. ``apply`` must be called with each of the log's commands once, in order."""
 
     def __init__(self, state: DocumentsState | None = None) -> None:
         self.state = state or DocumentsState()
         self.documents = self.state.documents
 
     def outcome(self, proposal_id: str) -> Outcome | None:
-        """A proposal's outcome; None where it is undecided or no longer retained."""
+        """Returns a proposal's outcome; None if it is undecided or no longer retained."""
         newest_first = reversed(self.state.outcomes)
         return next((outcome for outcome in newest_first if outcome.proposal_id == proposal_id), None)
 
     def apply(self, index: int, term: int, command: Command) -> Document | None:
-        """Applies one entry; the document that it changed."""
+        """Applies one entry; returns the document that it changed, if any."""
         assert index == self.state.applied_index + 1, (index, self.state.applied_index)
         self.state.applied_index = index
         changed = None
@@ -129,7 +130,7 @@
         document = self.documents.get(proposal.document) or Document(proposal.document, 0)
         proposal_id = proposal.proposal_id
         if self.outcome(proposal_id) is not None or proposal_id_of(document.pending) == proposal_id:
-            return None  # a repetition
+            return None  # a duplicate
         if proposal.document in MERGED_DOCUMENTS:
             return self._merge(index, term, document, proposal)
         if document.pending is not None or document.staged is not None:
@@ -150,7 +151,7 @@
         return msgspec.structs.replace(document, changed_index=index, pending=pending)
 
     def _merge(self, index: int, term: int, document: Document, proposal: Propose) -> Document | None:
-        """Merges a change at once: it needs no decision."""
+        """Merges a change immediately, without a decision."""
         name, proposal_id, active = proposal.document, proposal.proposal_id, document.active
         content = merge(name, active.content if active is not None else None, proposal.content)
         content_hash = digest(content)
@@ -197,7 +198,7 @@
         final = staged if decision.outcome == ProposalOutcome.PROMOTED else document.active
         if final is None:
             return msgspec.structs.replace(document, changed_index=index, staged=None)
-        # All nodes act on one content again, as a version of its own: numbers never decrease.
+        # All nodes act on one content again, under a new version number: numbers never decrease.
         return _activate(document, index, msgspec.structs.replace(final, number=index, share=1.0))
 
     def _record(self, proposal_id: str, document: str, outcome: str, problem: str, index: int) -> None:
@@ -207,12 +208,12 @@
     # --- snapshots ------------------------------------------------------------------------------------
 
     def encode(self) -> bytes:
-        """The state, for a snapshot."""
+        """Returns the state, encoded for a snapshot."""
         return msgspec.msgpack.encode(self.state)
 
 
 def decode_documents(state: bytes) -> Documents:
-    """The documents of a snapshot; none where it is empty."""
+    """Returns the documents of a snapshot; none if it is empty."""
     return Documents(msgspec.msgpack.decode(state, type=DocumentsState) if state else None)
 
 
--- a/puffinpost/consensus/followers.py
+++ b/puffinpost/consensus/followers.py
@@ -11,11 +11,11 @@
 from puffinpost.consensus.member_config import MemberConfig
 from puffinpost.consensus.messages import Summary
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class Followers:
-    """The followers by name. Times are ns of this node's clock."""
+    """Tracks the followers by name. Times are ns of this node's clock."""
 
     def __init__(self, config: MemberConfig) -> None:
         self.config = config
@@ -24,37 +24,37 @@
         self.preferred_sources: dict[str, str] = {}
 
     def at_capacity(self, sender: str) -> bool:
-        """Whether a request is turned down, to bound the fan-out.
+        """Whether a request is rejected to bound the fan-out.
 
-        Voters and followers whose preferred source is this node are always accepted; the limit is for those
-        that come while theirs is silent.
+        Voters and followers whose preferred source is this node are always accepted. The limit applies to
+        followers whose preferred source does not respond.
         """
         if sender in self.config.voters or self._preferred_source(sender) == self.config.name:
             return False
-        preferring_others = [
+        non_preferring = [
             name
             for name in self.summaries
             if self._preferred_source(name) not in ("", self.config.name) and name != sender
         ]
-        return len(preferring_others) >= self.config.fanout - self.config.preferred_follower_limit
+        return len(non_preferring) >= self.config.fanout - self.config.preferred_follower_limit
 
     def record_request(self, sender: str, summary: Summary, now: int, link: Any) -> bool:
-        """Records a request; whether the nodes that are ready for a proposal have changed."""
+        """Records a request; returns whether the counts of nodes ready for a proposal have changed."""
         before = self.summaries.get(sender)
         self.summaries[sender], self.links[sender] = (now, summary), link
         return before is not None and before[1].ready_counts != summary.ready_counts
 
     def notification_links(self) -> list[Any]:
-        """The links on which changed documents go out."""
+        """Returns the links on which changed documents are sent."""
         return [self.links[name] for name in self.summaries if name not in self.config.voters]
 
     def recent_summaries(self, now: int) -> list[tuple[Summary, int]]:
-        """The summaries of followers heard within a lease's duration, with their ages in ms; drops the
-        others.
-        """
-        oldest = now - self.config.lease_duration_ns
-        self.summaries = {name: entry for name, entry in self.summaries.items() if entry[0] > oldest}
-        return [(summary, (now - received_at) // MS) for received_at, summary in self.summaries.values()]
+        """Returns the summaries from the last lease duration, with their ages in ms; drops older ones."""
+        cutoff_ns = now - self.config.lease_duration_ns
+        self.summaries = {name: entry for name, entry in self.summaries.items() if entry[0] > cutoff_ns}
+        return [
+            (summary, (now - received_at) // NS_PER_MS) for received_at, summary in self.summaries.values()
+        ]
 
     def _preferred_source(self, name: str) -> str:
         if name not in self.preferred_sources:
--- a/puffinpost/consensus/leadership.py
+++ b/puffinpost/consensus/leadership.py
@@ -1,6 +1,6 @@
-"""What a voter does as leader: it holds the lease, decides on proposals and appends them to the log.
+"""The duties of a leader: it holds the lease, decides on proposals and appends them to the log.
 
-`member` calls it at each tick of a voter. The rollout's state is made anew in each term of leadership.
+`member` calls it at each tick of a voter. The state of rollouts is created anew in each term of leadership.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 
 
 class Leadership:
-    """One voter's work as leader."""
+    """The duties of one voter while it is the leader."""
 
     def __init__(
         self, config: MemberConfig, raft: Raft, active_versions: ActiveVersions, proposals: Proposals
     ) -> None:
         self.config, self.raft = config, raft
         self.active_versions, self.proposals = active_versions, proposals
-        self.rollout: RolloutController | None = None  # None: this node does not lead
+        self.rollout: RolloutController | None = None  # None: this node is not the leader
         self.retained_classes = RetainedClasses(config.agree_within_ns)
 
     def on_document_changed(self, before: Document | None, after: Document, now: int) -> None:
-        """Each voter keeps track of retained classes, as it may lead later."""
+        """Tracks retained classes at each voter, since any of them may become leader."""
         if after.name != SETTINGS or before is None:
             return
         if before.active is not None and after.active is not None:
             self.retained_classes.on_version_replaced(before.active.content, after.active.content, now)
 
     def on_applied(self, proposal_id: str) -> None:
-        """An entry about a proposal was applied."""
+        """Handles that an entry about a proposal was applied."""
         if self.rollout is not None:
             self.rollout.on_applied(proposal_id)
 
     def tick(self, documents: Documents, summarize: Callable[[int], Summary], now: int) -> None:
-        """Leads, where this node is the leader and has committed an entry of its term."""
+        """Acts as leader if this node is the leader and has committed an entry of its term."""
         if not self.raft.has_committed_in_term():
             self.rollout = None
             return
--- a/puffinpost/consensus/lease_renewal.py
+++ b/puffinpost/consensus/lease_renewal.py
@@ -1,7 +1,7 @@
-"""How a node renews its lease: when it sends the next request, and to which source.
+"""Schedules lease renewal: when a node sends the next request, and to which source.
 
-`member` sends the requests and hands in the replies. The lease itself is extended elsewhere, once the
-documents that came with a reply are on disk.
+`member` sends the requests and passes in the replies. It extends the lease itself, once the documents of a
+reply are on disk.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from puffinpost.consensus.messages import LeaseReply
 from puffinpost.consensus.raft import Raft
 
-NOTIFICATION_DELAY_NS = 20_000_000  # changes in many followers are reported together
+NOTIFICATION_DELAY_NS = 20_000_000  # batches reports of changes in many followers
 MAX_EMPTY_REPLIES = 3  # replies without a lease before another source is chosen
-PREFERRED_SOURCE_PROBABILITY = 0.05  # of a return from another source to the preferred one, per request
+PREFERRED_SOURCE_PROBABILITY = 0.05  # per request, of returning to it from another source
 
 
 class LeaseRenewal:
@@ -34,11 +34,11 @@
         self.due_ns = now + self.interval_ns * 3 // 4 + self.rng.randrange(self.interval_ns // 2)
 
     def renew_soon(self, now: int) -> None:
-        """Brings the next request forward, since it has something new to report."""
+        """Brings the next request forward, because there is something new to report."""
         self.due_ns = min(self.due_ns, now + NOTIFICATION_DELAY_NS)
 
     def begin_request(self, raft: Raft | None, now: int) -> str:
-        """The source to which a request goes now; empty where there is none."""
+        """Returns the source to send a request to now; empty if there is none."""
         if not self.source_responsive:
             self.source_index, self.empty_replies = self.source_index + 1, 0
         elif self.rng.random() < PREFERRED_SOURCE_PROBABILITY:
@@ -46,12 +46,12 @@
         self.source_responsive, self.requested_at_ns = False, now
         sources = self.sources
         if raft is not None and raft.is_voter() and raft.leader:
-            # The leader is the first choice. It may be reachable in one direction only, so others follow.
+            # The leader comes first. Other sources follow, as it may be reachable in one direction only.
             sources = tuple(dict.fromkeys([raft.leader, *sources]))
         return sources[self.source_index % len(sources)] if sources else ""
 
     def accept_reply(self, reply: LeaseReply) -> bool:
-        """Whether a reply grants a lease: it is not late, and its source holds one itself."""
+        """Whether a reply grants a lease: it answers the last request, and its source holds a lease."""
         if reply.requested_at_ns != self.requested_at_ns or reply.at_capacity:
             return False
         granted = reply.remaining_ns > 0
--- a/puffinpost/consensus/member.py
+++ b/puffinpost/consensus/member.py
@@ -1,7 +1,7 @@
 """One node of the cluster, a voter or a follower, without I/O.
 
-The driver hands in messages and the time, writes what `take_output` returns to disk, then sends its
-messages, and then calls `persisted`; only there does the node begin to act on a version.
+The driver passes in messages and the time, writes what `take_output` returns to disk, then sends its
+messages, and then calls `persisted`. Only in that call does the node begin to act on a version.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class Member:
-    """A node. ``persistent_state``: what it had on disk; None for one that only follows.
+    """A node. ``persistent_state``: the state that it had on disk; None for a node that only follows.
 
     ``validate`` returns the problem that keeps this node from acting on a document's content, or nothing.
     """
@@ -61,11 +61,11 @@
     ) -> None:
         self.config, self.identity = config, identity
         self.now = now
-        self.active_versions = ActiveVersions(config.name, config.on_lost, validate)
+        self.active_versions = ActiveVersions(config.name, config.lost_lease_policy, validate)
         self.proposals = Proposals()
         self.raft: Raft | None = None
         self.applier: DocumentApplier | None = None
-        self._no_documents = Documents()
+        self._empty_documents = Documents()
         self.leadership: Leadership | None = None
         if persistent_state is not None:
             interval_ns = config.heartbeat_interval_ns
@@ -77,8 +77,8 @@
         self.renewal = LeaseRenewal(config, rng, now)
         self.hellos: dict[str, Hello] = {}
         self.leader = ""
-        self.capabilities: tuple[str, ...] = ()  # further protocols that this node understands
-        self.identity_mismatches = 0  # messages of voters with another identity than expected
+        self.capabilities: tuple[str, ...] = ()  # further protocols that this node supports
+        self.identity_mismatches = 0  # messages from voters with an unexpected identity
         self._messages: list[tuple[str, Message]] = []
         self._replies: list[tuple[Any, Message]] = []
         self._updated_documents: list[Document] = []
@@ -86,13 +86,13 @@
 
     @property
     def documents(self) -> Documents:
-        """The documents as this voter's log has them; none at a follower."""
-        return self.applier.documents if self.applier is not None else self._no_documents
+        """The documents according to this voter's log; none at a follower."""
+        return self.applier.documents if self.applier is not None else self._empty_documents
 
     # --- called by the driver -------------------------------------------------------------------------
 
     def hello(self) -> Hello:
-        """The first message on each link."""
+        """Returns the first message to send on a link."""
         config = self.config
         voters = self.raft.log.voters() if self.raft is not None else {}
         can_vote = self.raft is not None and config.name in config.voters
@@ -101,7 +101,7 @@
         )
 
     def take_output(self) -> Output:
-        """What is to be written and sent, since the last call."""
+        """Returns what has to be written and sent, since the last call."""
         raft = self.raft
         ready = raft.take_ready() if raft is not None else Ready()
         ready.messages += self._messages
@@ -118,7 +118,7 @@
         return output
 
     def persisted(self, output: Output) -> None:
-        """All of the output is on disk and sent: from now on this node may act on it."""
+        """Records that an output is on disk and sent: from now on this node may act on it."""
         newer = [document for document in output.updated_documents if self.active_versions.update(document)]
         self._notify_followers(newer)
         self.active_versions.lease.extend(*output.lease_grant)
@@ -130,7 +130,7 @@
         self._apply_committed()
 
     def tick(self, now: int) -> None:
-        """Does what is due: elections, heartbeats, decisions and the renewal of the lease."""
+        """Runs elections, heartbeats, decisions and the renewal of the lease as they are due."""
         self.now = now
         if self.raft is not None and self.leadership is not None:
             self.raft.tick(now)
@@ -141,14 +141,14 @@
             self._renew_lease(now)
 
     def next_due_ns(self) -> int:
-        """When `tick` has something to do next, on this node's clock."""
+        """Returns when `tick` has something to do next, on this node's clock."""
         raft = self.raft
         if raft is None or not (raft.role is Role.LEADER or raft.is_voter()):
             return self.renewal.due_ns
         return min(self.renewal.due_ns, raft.next_due_ns())
 
     def receive(self, sender: str, identity: str, message: Message, now: int, reply_to: Any = None) -> None:
-        """Handles a message from a link whose other end introduced itself with this name and identity."""
+        """Handles a message from a link whose remote end introduced itself with this name and identity."""
         self.now = now
         match message:
             case Hello():
@@ -170,17 +170,17 @@
                 self._on_raft_message(sender, identity, message, now)
 
     def propose(self, proposal: Propose) -> None:
-        """Opens a proposal of an operator here or of a follower. Idempotent."""
+        """Opens a proposal of an operator of this node or of a follower. Idempotent."""
         proposal_id, undecided = proposal.proposal_id, self.active_versions.undecided_proposals()
         if self.outcome(proposal_id) is None and proposal_id not in undecided:
             self.proposals.add(proposal)
 
     def renew_now(self) -> None:
-        """Makes the next tick renew the lease, which passes open proposals on."""
+        """Makes the next tick renew the lease, which forwards open proposals."""
         self.renewal.due_ns = 0
 
     def outcome(self, proposal_id: str) -> ProposalResult | None:
-        """A proposal's outcome, as far as it is known here."""
+        """Returns a proposal's outcome; None if this node does not know it."""
         outcome = self.documents.outcome(proposal_id)
         if outcome is not None:
             return ProposalResult(outcome.outcome, outcome.problem)
@@ -192,15 +192,15 @@
         return ignores_lease or self.active_versions.can_start(request_class, now)
 
     def summary(self, now: int) -> Summary:
-        """What this node and all of its followers report."""
+        """Returns what this node and all of its followers report."""
         active_versions = self.active_versions
-        own = summarize_node(self.config.name, active_versions, self.response_counts, now)
+        local_summary = summarize_node(self.config.name, active_versions, self.response_counts, now)
         current = {
             name: f"{name}@{version.number}"
             for name in active_versions.documents
             if (version := active_versions.version(name)) is not None
         }
-        return combine_summaries([(own, 0), *self.followers.recent_summaries(now)], current)
+        return combine_summaries([(local_summary, 0), *self.followers.recent_summaries(now)], current)
 
     # --- voting and applying --------------------------------------------------------------------------
 
@@ -210,8 +210,8 @@
             return
         expected = (raft.log.voters() | raft.learners).get(sender)
         is_vote = isinstance(message, RequestVote | RequestVoteReply) and raft.is_voter()
-        # A voter that lost its store has another identity, and must not vote again in a term. A leader that
-        # was removed from the voters may still finish its work.
+        # A voter that lost its store has a new identity, and must not vote again in the same term. Entries
+        # from a leader that was removed from the voters are still accepted, so that it can finish its work.
         if expected != identity and (expected is not None or is_vote):
             self.identity_mismatches += 1
             return
@@ -224,14 +224,14 @@
             if applied.after is not None:
                 self.leadership.on_document_changed(applied.before, applied.after, self.now)
                 self.active_versions.update(applied.after)
-                # Stored as a document too: after a start the log may hold it as not committed yet.
+                # Stored as a document too: after a restart its log entry may not be known as committed yet.
                 self._updated_documents.append(applied.after)
                 self._notify_followers([applied.after])
             self.proposals.close(applied.proposal_id)
             self.leadership.on_applied(applied.proposal_id)
 
     def _notify_followers(self, documents: list[Document]) -> None:
-        """Sends changed documents without a lease: that they are current, followers ask for as ever."""
+        """Sends changed documents without a lease, for which followers continue to send requests."""
         if not documents:
             return
         self.renewal.renew_soon(self.now)
@@ -284,12 +284,12 @@
             self._on_changed_documents(reply)
         elif self.renewal.accept_reply(reply):
             self.leader = reply.leader or self.leader
-            self.proposals.learn_outcomes(reply.outcomes)
+            self.proposals.add_outcomes(reply.outcomes)
             self._on_changed_documents(reply)
             self._lease_grant = LeaseGrant(reply.requested_at_ns, reply.remaining_ns)
 
     def _on_changed_documents(self, reply: LeaseReply) -> None:
-        """Takes documents from a source; they are acted on once they are on disk."""
-        documents = [msgspec.msgpack.decode(each, type=Document) for each in reply.changed_documents]
+        """Receives documents from a source; this node acts on them once they are on disk."""
+        documents = [msgspec.msgpack.decode(encoded, type=Document) for encoded in reply.changed_documents]
         self._updated_documents += documents
-        self.proposals.learn_documents(documents)
+        self.proposals.add_document_outcomes(documents)
--- a/puffinpost/consensus/member_config.py
+++ b/puffinpost/consensus/member_config.py
@@ -1,6 +1,6 @@
-"""One node's configuration as a member of the cluster, and the tree along which leases are renewed.
+"""The configuration of one member of the cluster, and the tree along which leases are renewed.
 
-`config.cluster` makes it from the operator's file. Times are in ns.
+`config.cluster` creates it from the operator's file. Times are in ns.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from puffinpost.consensus.lease import lease_duration_ns
 from puffinpost.consensus.rollout import RolloutTimeouts
 
-RENEWALS_PER_LEASE = 8  # a few may be lost before a lease expires
+RENEWALS_PER_LEASE = 8  # so that a few may be lost before a lease expires
 
 
 class InjectedFault(StrEnum):
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberConfig:
-    """``members``: all names in the file's order; ``fanout``: the followers that a node serves at most.
+    """``members``: all names in the file's order; ``fanout``: the maximum number of followers of a node.
 
-    ``faults`` may name others than `InjectedFault`, which other parts of a rehearsal inject.
+    ``faults`` may contain names that are not in `InjectedFault`; other parts of a rehearsal inject those.
     """
 
     cluster: str
@@ -36,9 +36,9 @@
     agree_within_ns: int = 2_000_000_000
     heartbeat_interval_ns: int = 50_000_000
     fanout: int = 16
-    on_lost: str = "narrow"
-    decide_ns: int = 10_000_000_000
-    stage_ns: int = 10_000_000_000
+    lost_lease_policy: str = "narrow"
+    decision_timeout_ns: int = 10_000_000_000
+    staging_duration_ns: int = 10_000_000_000
     max_failure_share: float = 0.1
     faults: frozenset[str] = frozenset()
 
@@ -56,40 +56,43 @@
     def rollout_timeouts(self) -> RolloutTimeouts:
         """How long a leader waits in a rollout; every node reports within two renewals."""
         return RolloutTimeouts(
-            2 * self.renewal_interval_ns, self.decide_ns, self.stage_ns, self.max_failure_share
+            2 * self.renewal_interval_ns,
+            self.decision_timeout_ns,
+            self.staging_duration_ns,
+            self.max_failure_share,
         )
 
     @property
     def preferred_follower_limit(self) -> int:
-        """How many followers prefer one source; as many places again are for those of silent sources."""
+        """How many followers prefer a source. The rest of its fan-out is for those of unresponsive ones."""
         return max(1, self.fanout // 2)
 
     def preferred_source(self, name: str) -> str:
-        """The source that a follower asks first; empty for a voter.
+        """Returns the source that a follower tries first; empty for a voter.
 
-        The tree has a bounded fan-out: followers stand in a row after the voters, and the i-th prefers the
-        member at ``i / preferred_follower_limit``.
+        The tree has a bounded fan-out: it lists the voters, then the followers, and the i-th follower prefers
+        the member at ``i / preferred_follower_limit``.
         """
-        row = self._tree_order()
-        index = row.index(name) if name in row else 0
+        tree_order = self._tree_order()
+        index = tree_order.index(name) if name in tree_order else 0
         if index < len(self.voters):
             return ""
-        return row[(index - len(self.voters)) // self.preferred_follower_limit]
+        return tree_order[(index - len(self.voters)) // self.preferred_follower_limit]
 
     def sources(self) -> tuple[str, ...]:
-        """The sources of this node, the preferred one first.
+        """Returns the sources of this node, the preferred one first.
 
-        All of a follower's sources stand before it in the row, so that followers never form a cycle in which
-        each would extend its lease from the next.
+        All of a follower's sources precede it in the tree order, so that followers never form a cycle in
+        which each extends its lease from the next.
         """
-        row = self._tree_order()
-        index = row.index(self.name)
+        tree_order = self._tree_order()
+        index = tree_order.index(self.name)
         if index < len(self.voters):
             return tuple(name for name in self.voters if name != self.name)
-        preferred = row.index(self.preferred_source(self.name))
+        preferred = tree_order.index(self.preferred_source(self.name))
         alternative_count = min(index, 1 + len(self.voters))
-        alternatives = [row[(preferred + step) % index] for step in range(1, alternative_count)]
-        return tuple(dict.fromkeys([row[preferred], *alternatives, *self.voters]))
+        alternatives = [tree_order[(preferred + step) % index] for step in range(1, alternative_count)]
+        return tuple(dict.fromkeys([tree_order[preferred], *alternatives, *self.voters]))
 
     def _tree_order(self) -> list[str]:
         voters = set(self.voters)
--- a/puffinpost/consensus/merged_documents.py
+++ b/puffinpost/consensus/merged_documents.py
@@ -1,8 +1,8 @@
-"""Documents of which many nodes change a few entries at a time: bans and the endpoint list.
+"""Documents in which many nodes change a few entries at a time: bans and the endpoint list.
 
 `documents` merges each proposed change as soon as it is in the log, so that concurrent changes of different
-entries both hold. Entries of one endpoint are ordered by its start (``since_ms``) and then by discovery's
-``index``, never by arrival.
+entries both take effect. Entries of one endpoint are ordered by its start time (``since_ms``) and then by
+discovery's ``index``, never by arrival.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def change_problem(document: str, change: Any) -> str:
-    """What is wrong with a change, with its key; empty where nothing is."""
+    """Returns what is wrong with a change, with its key; empty if it is valid."""
     if not isinstance(change, dict):
         return f"{document}: {change!r:.40} is not a table"
     return _bans_problem(change) if document == BANS else _endpoint_list_problem(change)
@@ -38,7 +38,7 @@
 
 
 def merge(document: str, content: Any, change: Any) -> Any:
-    """The content after a change; an invalid change has no effect."""
+    """Returns the content after a change; an invalid change has no effect."""
     before = dict(content) if isinstance(content, dict) else {}
     if change_problem(document, change):
         return before
@@ -60,17 +60,17 @@
             after[entry["name"]] = entry
     if change["snapshot"]:
         for name in after.keys() - {entry["name"] for entry in entries}:
-            known = after[name]
-            if known.get("status") != STATUS_REMOVED and known.get("index", 0) < index:
-                after[name] = {**known, "status": STATUS_REMOVED, "index": index}
+            existing = after[name]
+            if existing.get("status") != STATUS_REMOVED and existing.get("index", 0) < index:
+                after[name] = {**existing, "status": STATUS_REMOVED, "index": index}
     return dict(sorted(after.items()))
 
 
-def _replaces(entry: dict[str, Any], known: dict[str, Any] | None) -> bool:
-    if known is None:
+def _replaces(entry: dict[str, Any], existing: dict[str, Any] | None) -> bool:
+    if existing is None:
         return True
-    is_repetition = {**known, "index": 0} == {**entry, "index": 0}
-    return not is_repetition and _order(entry) >= _order(known)
+    is_duplicate = {**existing, "index": 0} == {**entry, "index": 0}
+    return not is_duplicate and _order(entry) >= _order(existing)
 
 
 def _order(entry: dict[str, Any]) -> tuple[float, int]:
@@ -79,7 +79,7 @@
 
 
 def to_discovery_answer(content: dict[str, Any]) -> dict[str, Any]:
-    """The endpoint list in the form of discovery's answer."""
+    """Returns the endpoint list in the format of discovery's answer."""
     endpoints = [
         {key: value for key, value in entry.items() if key != "index"}
         for entry in content.values()
--- a/puffinpost/consensus/messages.py
+++ b/puffinpost/consensus/messages.py
@@ -164,8 +164,8 @@
 class Summary(MessageBase, tag="Summary"):
     """What a node and all of its followers report. Its size is bounded, whatever their number.
 
-    ``rejections`` and ``node_reports`` contain a limited number of all. ``response_count`` and
-    ``failure_count`` are of responses to clients, sent by nodes that act on a staged version.
+    ``rejections`` and ``node_reports`` are limited in number. ``response_count`` and ``failure_count`` are of
+    responses to clients, sent by nodes that act on a staged version.
     """
 
     node_count: int = 0
--- a/puffinpost/consensus/output.py
+++ b/puffinpost/consensus/output.py
@@ -33,7 +33,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """A lease, measured from the request for it. Times are ns of this node's clock."""
+    """A lease granted by a source; it counts from the request for it. Times are ns of this node's clock."""
 
     requested_at_ns: int = 0
     remaining_ns: int = 0
--- a/puffinpost/consensus/proposals.py
+++ b/puffinpost/consensus/proposals.py
@@ -1,7 +1,7 @@
-"""A node's open proposals, and the outcomes that it learned from its source.
+"""A node's open proposals, and the outcomes that it received from its source.
 
-`member` adds proposals of its operators and of its followers, and passes them on until they are in the log.
-Nothing here decides on a proposal.
+`member` adds proposals of its operators and of its followers, and forwards them until they are in the log.
+This module does not decide on a proposal.
 """
 
 from __future__ import annotations
@@ -11,38 +11,38 @@
 from puffinpost.consensus.documents import Document
 from puffinpost.consensus.messages import ProposalOutcome, ProposalResult, Propose
 
-MAX_PROPOSALS = 64  # also the most outcomes retained
+MAX_PROPOSALS = 64  # also the maximum number of outcomes retained
 MAX_PROPOSALS_PER_REQUEST = 8
 
 
 class Proposals:
-    """Open proposals and learned outcomes, by proposal id."""
+    """Open proposals and received outcomes, by proposal id."""
 
     def __init__(self) -> None:
         self.open: dict[str, Propose] = {}
         self.outcomes: dict[str, ProposalResult] = {}
 
     def add(self, proposal: Propose) -> None:
-        """Opens a proposal; dropped, to be offered again, where there are too many."""
+        """Opens a proposal. Drops it if too many are open, so that the proposer has to retry."""
         if len(self.open) < MAX_PROPOSALS:
             self.open[proposal.proposal_id] = proposal
 
     def close(self, proposal_id: str) -> None:
-        """The proposal is in the log, or its outcome is known."""
+        """Closes a proposal that is in the log or whose outcome is known."""
         self.open.pop(proposal_id, None)
 
     def next_batch(self) -> tuple[Propose, ...]:
-        """The proposals that go out with the next lease request."""
+        """Returns the proposals to send with the next lease request."""
         return tuple(self.open.values())[:MAX_PROPOSALS_PER_REQUEST]
 
-    def learn_outcomes(self, outcomes: dict[str, ProposalResult]) -> None:
-        """A source knows the outcomes of these proposals."""
+    def add_outcomes(self, outcomes: dict[str, ProposalResult]) -> None:
+        """Stores outcomes received from a source and closes the proposals."""
         self.outcomes |= outcomes
         self.outcomes = dict(list(self.outcomes.items())[-MAX_PROPOSALS:])
         for proposal_id in outcomes:
             self.close(proposal_id)
 
-    def learn_documents(self, documents: Iterable[Document]) -> None:
+    def add_document_outcomes(self, documents: Iterable[Document]) -> None:
         """Closes the proposals whose versions are active or staged in documents from a source."""
         for document in documents:
             for version, outcome in (
--- a/puffinpost/consensus/raft_state.py
+++ b/puffinpost/consensus/raft_state.py
@@ -14,7 +14,7 @@
 from puffinpost.consensus.messages import Entry, Message, Voters
 from puffinpost.consensus.output import Ready
 
-MIN_ELECTION_TIMEOUT = 5  # heartbeat intervals; the timeout is drawn between this and twice this
+MIN_ELECTION_TIMEOUT = 5  # heartbeat intervals; the timeout is drawn between this and twice this value
 INITIAL_CONTACT_AGE = 20  # heartbeat intervals; a voter starts as if its last leader contact were this old
 
 
--- a/puffinpost/consensus/rollout.py
+++ b/puffinpost/consensus/rollout.py
@@ -46,7 +46,7 @@
         return decided
 
     def on_applied(self, proposal_id: str) -> None:
-        """Forgets a proposal when an entry about it is applied, so that a staged version is timed anew."""
+        """Clears the state of a proposal after an applied entry, so that a staged version is timed anew."""
         self.unapplied_decisions.discard(proposal_id)
         self.first_seen_ns.pop(proposal_id, None)
 
--- a/puffinpost/consensus/voters.py
+++ b/puffinpost/consensus/voters.py
@@ -1,6 +1,6 @@
 """The set of voters: its bootstrap at the first start of a cluster, and changes of one voter at a time.
 
-`member` calls the bootstrap at each introduction, and `leadership` advances a change at each tick.
+`member` calls the bootstrap on each `Hello`, and `leadership` advances a change at each tick.
 """
 
 from __future__ import annotations
@@ -20,39 +20,41 @@
     hellos: dict[str, Hello],
     make_hello: Callable[[], Hello],
 ) -> list[tuple[str, Message]]:
-    """Sets the first voters, once each configured voter has introduced itself as new; the messages to send.
+    """Sets the first voters once each configured voter has introduced itself as new; returns the messages.
 
-    One voter that is unreachable, or that has voters already, is enough to wait, so that no second cluster
-    begins. Two bootstraps can begin where a store is lost meanwhile, but each voter takes part in one only,
-    and so at most one has a majority.
+    The bootstrap waits while any voter is unreachable or has voters already, so that no second cluster is
+    created. Two bootstraps can start if a store is lost meanwhile, but each voter takes part in only one, so
+    at most one of them has a majority.
     """
     if raft is None or raft.log.voters() or raft.log.last_index or config.name not in config.voters:
         return []
-    others = [name for name in config.voters if name != config.name]
-    voters = _first_voters(config.name, identity, [hellos.get(name) for name in others])
+    peers = [name for name in config.voters if name != config.name]
+    voters = _first_voters(config.name, identity, [hellos.get(name) for name in peers])
     if voters is None:
         return []
     raft.log.snapshot = Snapshot(0, 0, voters, b"")
     raft.ready.snapshot = raft.log.snapshot
-    return [(name, make_hello()) for name in others]
+    return [(name, make_hello()) for name in peers]
 
 
-def _first_voters(name: str, identity: str, others: list[Hello | None]) -> dict[str, str] | None:
-    """The voters of a bootstrap that includes this node, or of a new one; None: wait."""
-    for hello in others:
+def _first_voters(name: str, identity: str, peer_hellos: list[Hello | None]) -> dict[str, str] | None:
+    """Returns the voters of a bootstrap that includes this node, or of a new one; None: wait."""
+    for hello in peer_hellos:
         if hello is not None and hello.voters.get(name) == identity:
             return hello.voters
-    new = {hello.name: hello.identity for hello in others if hello and hello.can_vote and not hello.voters}
-    if len(new) < len(others):
+    new_voters = {
+        hello.name: hello.identity for hello in peer_hellos if hello and hello.can_vote and not hello.voters
+    }
+    if len(new_voters) < len(peer_hellos):
         return None
-    return dict(sorted({**new, name: identity}.items()))
+    return dict(sorted({**new_voters, name: identity}.items()))
 
 
 def advance_voter_change(raft: Raft, proposal: Propose, now: int) -> bool:
-    """Adds a voter, removes one, or replaces one that lost its store; whether that is done.
+    """Adds a voter, removes a voter, or replaces a voter that lost its store; returns whether it is done.
 
-    ``proposal.content`` maps a name to the identity of its store, empty for a removal. One change is under
-    way at a time (thesis, 4.1), and a new voter catches up as a learner first (4.2.1).
+    ``proposal.content`` maps a name to the identity of its store, empty for a removal. One change is in
+    progress at a time (thesis, 4.1), and a new voter catches up as a learner first (4.2.1).
     """
     name, identity = next(iter(dict(proposal.content).items()))
     voters = raft.log.voters()
--- a/puffinpost/emulator/mesh/virtual_node.py
+++ b/puffinpost/emulator/mesh/virtual_node.py
@@ -109,7 +109,7 @@
         settings.agree_within_ns,
         fanout=settings.fanout,
         faults=settings.planted_faults,
-        on_lost=settings.on_lost,
+        lost_lease_policy=settings.on_lost,
     )
     rate = 1.0 + settings.clock_drift * chance.choice([-1.0, 0.0, 1.0, chance.uniform(-1, 1)])
     return VirtualNode(config, Disk(f"{name}.0"), rate, chance.randrange(MAX_CLOCK_OFFSET_NS))
