--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Consensus without sockets: random faults on a virtual clock, injected faults, every order of events."""
+"""Consensus on a virtual clock without sockets: random faults, injected faults and all orders of events."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from puffinpost.emulator.mesh.virtual_consensus import MS, S, VirtualCluster, VirtualClusterSettings
 
 CHUNKS = 25
-T = 2 * S
+T = 2 * S  # agree_within_ns: how long a node may act on a version after another acts on a newer one
 
 
 @pytest.mark.parametrize("chunk", range(CHUNKS))
@@ -38,19 +38,19 @@
             if seed % 20 == 9
             else ConsensusFaultProfile(3, 1, faults=4, proposals=4, duration_ns=(100 * MS, 2 * S))
         )
-        played = play_consensus_faults(seed, profile)
-        assert not played.violations, (seed, [it.describe() for it in played.violations])
-        assert not played.without_lease, (
+        result = play_consensus_faults(seed, profile)
+        assert not result.violations, (seed, [violation.describe() for violation in result.violations])
+        assert not result.without_lease, (
             seed,
-            played.without_lease,
+            result.without_lease,
         )  # every node holds a lease again
-        accepted += played.accepted
+        accepted += result.accepted
     assert accepted > 80
 
 
 @pytest.mark.parametrize("planted", ["stale_read", "lost_version", "lease_ignored"])
-def test_injected_faults_are_detected(planted: str) -> None:
-    """A stale read, a version that is not passed on, and a lease that is not checked."""
+def test_history_checker_detects_injected_faults(planted: str) -> None:
+    """Covers a stale read, a version that is not forwarded, and a lease that is not checked."""
     profile = ConsensusFaultProfile(
         3, 2, faults=8, proposals=10, duration_ns=(2 * S, 8 * S)
     )  # faults that outlast a lease
@@ -64,18 +64,25 @@
         node.member is not None and node.member.active_versions.is_current(node.local_time(cluster.now))
         for node in cluster.nodes.values()
     )
-    proposal_id, began, sent = cluster.propose("n499", {"a": 1}), cluster.now, cluster.messages_sent
+    proposal_id, proposed_at_ns, sent_before = (
+        cluster.propose("n499", {"a": 1}),
+        cluster.now,
+        cluster.messages_sent,
+    )
     cluster.run(4 * S)
     assert cluster.proposal_outcome(proposal_id) == ("accepted", "")
-    acts = [it for it in cluster.events if it.kind == "act"]
-    assert {it.node for it in acts if it.time_ns > cluster.now - S} == set(cluster.nodes)
-    assert max(it.time_ns for it in acts) > began and check_history(cluster.events, T, cluster.now - S) == []
+    act_events = [event for event in cluster.events if event.kind == "act"]
+    assert {event.node for event in act_events if event.time_ns > cluster.now - S} == set(cluster.nodes)
+    assert (
+        max(event.time_ns for event in act_events) > proposed_at_ns
+        and check_history(cluster.events, T, cluster.now - S) == []
+    )
     for node in cluster.nodes.values():
         assert node.member is not None
-        children = [name for name in node.member.followers.summaries if name not in node.config.voters]
-        assert len(children) <= 8
-    # At rest each node asks one other, a few times in T: it does not grow with the cluster.
-    assert (cluster.messages_sent - sent) / 500 / 4 < 15
+        followers = [name for name in node.member.followers.summaries if name not in node.config.voters]
+        assert len(followers) <= 8
+    # An idle node sends requests to one source, a few times in T: the rate does not grow with the cluster.
+    assert (cluster.messages_sent - sent_before) / 500 / 4 < 15
 
 
 def test_a_partitioned_node_starts_only_its_retained_classes() -> None:
@@ -99,24 +106,27 @@
     assert not member.can_start("chat", node.local_time(cluster.now))  # the retention has expired
     # A node may still rely on the retention, so the class is removable only once it is no longer retained
     # and the retention has expired.
-    refused = cluster.propose("n1", {"Classes": classes[1:]})
+    retained_proposal = cluster.propose("n1", {"Classes": classes[1:]})
     cluster.run(2 * S)
-    first = "Classes: chat is kept by the version in force: stop keeping it first"
-    assert cluster.proposal_outcome(refused) == ("rejected", first)
+    reason = "Classes: chat is kept by the version in force: stop keeping it first"
+    assert cluster.proposal_outcome(retained_proposal) == ("rejected", reason)
     cluster.propose("n1", {"Classes": classes})
     cluster.run(2 * S)
-    early = cluster.propose("n1", {"Classes": classes[1:]})
+    early_proposal = cluster.propose("n1", {"Classes": classes[1:]})
     cluster.run(2 * S)
-    assert cluster.proposal_outcome(early) is not None and "was kept" in str(cluster.proposal_outcome(early))
+    assert cluster.proposal_outcome(early_proposal) is not None and "was kept" in str(
+        cluster.proposal_outcome(early_proposal)
+    )
     cluster.run(8 * S)
-    late = cluster.propose("n1", {"Classes": classes[1:]})
+    late_proposal = cluster.propose("n1", {"Classes": classes[1:]})
     cluster.run(2 * S)
-    assert cluster.proposal_outcome(late) == ("accepted", "")
+    assert cluster.proposal_outcome(late_proposal) == ("accepted", "")
 
 
-def staged(share: float, fails: Callable[[bool], bool]) -> tuple[VirtualCluster, str]:
-    """Twenty nodes of which a share acts on a second version; ``fails``: whether an answer does, given
-    whether its node is among them. The cluster after it, and the proposal's proposal_id.
+def run_staged_rollout(share: float, fails: Callable[[bool], bool]) -> tuple[VirtualCluster, str]:
+    """Runs a staged rollout of a second version on twenty nodes; returns the cluster and the proposal's id.
+
+    ``fails``: whether a response fails, given whether its node acts on the staged version.
     """
     cluster = VirtualCluster(4, 3, 17)
     cluster.run(3 * S)
@@ -128,29 +138,31 @@
         for node in cluster.nodes.values():
             assert node.member is not None
             version = node.member.active_versions.version()
-            among = version is not None and version.content["a"] == 2
+            on_staged = version is not None and version.content["a"] == 2
             for _ in range(3):
-                node.member.response_counts.add(fails(among))
+                node.member.response_counts.add(fails(on_staged))
     return cluster, proposal_id
 
 
 @pytest.mark.parametrize(
     ("share", "fails", "outcome"),
     [
-        (0.4, lambda among: True, "withdrawn"),
-        (0.4, lambda among: False, "promoted"),
-        (0.2, lambda among: among, "withdrawn"),
-        (0.2, lambda among: not among, "promoted"),
+        (0.4, lambda on_staged: True, "withdrawn"),
+        (0.4, lambda on_staged: False, "promoted"),
+        (0.2, lambda on_staged: on_staged, "withdrawn"),
+        (0.2, lambda on_staged: not on_staged, "promoted"),
     ],
-    ids=["all fail", "none fails", "those who act on it fail", "all the others fail"],
+    ids=["all fail", "none fails", "only staged nodes fail", "only other nodes fail"],
 )
 def test_a_staged_version_is_withdrawn_on_failures_and_promoted_otherwise(
     share: float, fails: Callable[[bool], bool], outcome: str
 ) -> None:
-    cluster, proposal_id = staged(share, fails)
-    found = cluster.proposal_outcome(proposal_id)
-    assert found is not None and found[0] == outcome
-    versions = [it.member.active_versions.version() for it in cluster.nodes.values() if it.member is not None]
+    cluster, proposal_id = run_staged_rollout(share, fails)
+    result = cluster.proposal_outcome(proposal_id)
+    assert result is not None and result[0] == outcome
+    versions = [
+        node.member.active_versions.version() for node in cluster.nodes.values() if node.member is not None
+    ]
     assert None not in versions
     contents = {version.content["a"] for version in versions if version is not None}
     assert contents == {1 if outcome == "withdrawn" else 2}
@@ -161,8 +173,8 @@
     cluster.run(3 * S)
     leader = next(
         name
-        for name, it in cluster.nodes.items()
-        if it.member and it.member.raft and it.member.raft.role is Role.LEADER
+        for name, node in cluster.nodes.items()
+        if node.member and node.member.raft and node.member.raft.role is Role.LEADER
     )
     cluster.propose("n4", {leader: ""}, document="@voters")
     cluster.run(5 * S)
@@ -173,20 +185,20 @@
     assert cluster.proposal_outcome(proposal_id) == ("accepted", "")
     assert not [
         name
-        for name, it in cluster.nodes.items()
-        if it.member is None or not it.member.active_versions.is_current(it.local_time(cluster.now))
+        for name, node in cluster.nodes.items()
+        if node.member is None or not node.member.active_versions.is_current(node.local_time(cluster.now))
     ]
     cluster.record_outcomes()
     assert check_history(cluster.events, T, cluster.now) == []
 
 
-def test_entries_persisted_before_a_truncation_do_not_count_after_it() -> None:
+def test_entries_persisted_before_a_truncation_are_not_stable_after_it() -> None:
     persistent_state = PersistentState(1, "", Log(Snapshot(0, 0, {"a": "a", "b": "b", "c": "c"}), []))
     raft = Raft("b", "b", persistent_state, 50 * MS, random.Random(1), 0)
     raft.receive("a", AppendEntries(1, 0, 0, (Entry(1, Noop()), Entry(1, Noop())), 0, 0), 0)
-    cuts = raft.truncation_count
+    truncations_before = raft.truncation_count
     raft.receive("c", AppendEntries(2, 0, 0, (Entry(2, Noop()), Entry(2, Noop())), 0, 0), 0)
-    raft.persisted(2, cuts)  # of the truncated entries
+    raft.persisted(2, truncations_before)  # reports the truncated entries
     assert raft.stable_index == 0
     raft.persisted(2, raft.truncation_count)
     assert raft.stable_index == 2
@@ -204,7 +216,7 @@
     for content in ({"Classes": classes, "kept": {"classes": ["chat"], "for_s": 30}}, {"Classes": classes}):
         cluster.propose("n0", content)
         cluster.run(2 * S)
-    for name in cluster.nodes:  # all restart, so that no process remembers it
+    for name in cluster.nodes:  # all restart, so that no process has the earlier version in memory
         cluster.kill(name)
     cluster.heal()
     cluster.run(4 * S)
@@ -213,12 +225,12 @@
     assert "was kept" in str(cluster.proposal_outcome(proposal_id))
 
 
-def test_without_a_lease_the_configured_policy_decides() -> None:
-    for on_lost, may in (("narrow", False), ("refuse", False), ("keep", True)):
-        acting = ActiveVersions("n0", on_lost, lambda doc, content: "")
-        assert acting.can_start("chat", 100) is may
-        acting.lease.extend(100, 50)
-        assert acting.can_start("chat", 149) and acting.can_start("chat", 150) is may
+def test_without_a_lease_the_policy_decides_whether_requests_start() -> None:
+    for policy, allowed in (("narrow", False), ("refuse", False), ("keep", True)):
+        active_versions = ActiveVersions("n0", policy, lambda document, content: "")
+        assert active_versions.can_start("chat", 100) is allowed
+        active_versions.lease.extend(100, 50)
+        assert active_versions.can_start("chat", 149) and active_versions.can_start("chat", 150) is allowed
 
 
 def test_a_voter_that_lost_its_store_votes_only_after_readmission() -> None:
@@ -239,14 +251,14 @@
     cluster.run(4 * S)
     proposal_id = cluster.propose("n0", {"a": 2})
     cluster.run(3 * S)
-    assert cluster.proposal_outcome(proposal_id) == ("accepted", "")  # with its vote
+    assert cluster.proposal_outcome(proposal_id) == ("accepted", "")  # the majority includes its vote
 
 
-def test_one_node_that_cannot_act_on_a_version_rejects_it_with_its_key() -> None:
-    def check_at(node: str, doc: str, content: Any) -> str:
+def test_one_node_that_cannot_act_on_a_version_rejects_it_and_names_the_key() -> None:
+    def validate_at(node: str, document: str, content: Any) -> str:
         return "Limits.Odd: there is no such key" if node == "n3" and content.get("odd") else ""
 
-    cluster = VirtualCluster(5, 3, 2, check=check_at)
+    cluster = VirtualCluster(5, 3, 2, check=validate_at)
     cluster.run(3 * S)
     proposal_id = cluster.propose("n4", {"odd": True})
     cluster.run(3 * S)
@@ -254,25 +266,27 @@
     assert outcome is not None and outcome[0] == "rejected" and outcome[1].startswith("n3: Limits.Odd")
     cluster.record_outcomes()
     assert check_history(cluster.events, T, cluster.now) == [] and not any(
-        it.kind == "act" for it in cluster.events
+        event.kind == "act" for event in cluster.events
     )
 
 
-def test_small_cases_in_every_order_of_events() -> None:
-    votes = ModelChecker(Bounds(2, 0, 0, 0, 1, 0, votes_only=True)).run()
-    assert votes.complete and not votes.violation and votes.states > 1000
+def test_model_checker_finds_only_planted_defects_in_all_orders_of_events() -> None:
+    vote_result = ModelChecker(Bounds(2, 0, 0, 0, 1, 0, votes_only=True)).run()
+    assert vote_result.complete and not vote_result.violation and vote_result.states > 1000
     assert "both lead term" in ModelChecker(VOTE, "no_vote").run().violation
-    found = ModelChecker(LEASE, "no_lease", settled=True).run()
-    assert "ticks after a newer one" in found.violation and found.trace[-1].startswith("b acts on version")
+    lease_result = ModelChecker(LEASE, "no_lease", settled=True).run()
+    assert "ticks after a newer one" in lease_result.violation and lease_result.trace[-1].startswith(
+        "b acts on version"
+    )
 
 
-def test_the_checker_detects_a_broken_history() -> None:
-    def act(t: int, node: str, number: int, content: str = "x") -> Event:
-        return Event(t, node, "act", "settings", number, content + str(number), number)
+def test_history_checker_detects_violations() -> None:
+    def act(time_ns: int, node: str, number: int, content: str = "x") -> Event:
+        return Event(time_ns, node, "act", "settings", number, content + str(number), number)
 
     assert check_history([act(0, "a", 1), act(S, "b", 2), act(3 * S, "a", 1)], T, 9 * S) == []
     late = check_history([act(0, "a", 1), act(S, "b", 2), act(3 * S + 1, "a", 1)], T, 9 * S)
-    assert [it.invariant.split(" ")[0] for it in late] == ["two"] and "b" in late[0].describe()
+    assert [violation.invariant.split(" ")[0] for violation in late] == ["two"] and "b" in late[0].describe()
     assert "back" in check_history([act(0, "a", 2), act(1, "a", 1)], T, 9 * S)[0].invariant
     assert "two contents" in check_history([act(0, "a", 1), act(1, "b", 1, "y")], T, 9 * S)[0].invariant
     accepted = Event(0, "", "accepted", "settings", 5)
@@ -285,21 +299,21 @@
 def test_sources_form_no_cycle_and_preferred_ones_stay_within_the_fan_out(
     nodes: int, fanout: int, voters: int
 ) -> None:
-    names = tuple(f"n{at}" for at in range(nodes + voters))
-    row = {name: at for at, name in enumerate(names)}
-    first: dict[str, int] = {}
+    names = tuple(f"n{number}" for number in range(nodes + voters))
+    positions = {name: position for position, name in enumerate(names)}
+    preferred_counts: dict[str, int] = {}
     for name in names[voters:]:
         sources = MemberConfig("c", name, names, names[:voters], fanout=fanout).sources()
-        assert sources and all(row[it] < row[name] for it in sources)
-        first[sources[0]] = first.get(sources[0], 0) + 1
-    assert max(first.values()) <= fanout // 2  # as many again are for followers of silent sources
+        assert sources and all(positions[source] < positions[name] for source in sources)
+        preferred_counts[sources[0]] = preferred_counts.get(sources[0], 0) + 1
+    assert max(preferred_counts.values()) <= fanout // 2  # the rest is for followers of unresponsive sources
 
 
 def test_a_lease_expires_in_time_on_the_slowest_clocks_of_all_hops() -> None:
-    left = lease_duration_ns(T) / (1 - MAX_CLOCK_DRIFT)  # the leader's own clock is slow
+    duration_ns = lease_duration_ns(T) / (1 - MAX_CLOCK_DRIFT)  # the leader's own clock is slow
     for _ in range(MAX_HOPS + 1):
-        left /= 1 - MAX_CLOCK_DRIFT
-    assert left <= T * 1.0001
+        duration_ns /= 1 - MAX_CLOCK_DRIFT
+    assert duration_ns <= T * 1.0001
     lease = Lease()
     lease.extend(100, 50)
     lease.extend(90, 10)
@@ -310,17 +324,17 @@
     documents, rng = Documents(DocumentsState()), random.Random(1)
     for index in range(1, 200):
         proposal_id = f"p{rng.randrange(30)}"
-        proposed = rng.random() < 0.5
-        told = (
+        is_proposal = rng.random() < 0.5
+        command = (
             Propose(proposal_id, "settings", {"n": proposal_id})
-            if proposed
+            if is_proposal
             else Decide(proposal_id, "accepted")
         )
-        documents.apply(index, 1, told)
-    settled = [it.proposal_id for it in documents.state.outcomes]
-    assert len(set(settled)) == len(settled) > 10
+        documents.apply(index, 1, command)
+    decided = [outcome.proposal_id for outcome in documents.state.outcomes]
+    assert len(set(decided)) == len(decided) > 10
     document = documents.documents["settings"]
-    numbers = [it.number for it in document.previous]
+    numbers = [version.number for version in document.previous]
     assert numbers == sorted(set(numbers)) and len(numbers) <= 20
 
 
@@ -354,29 +368,33 @@
     assert results[0] == results[1]
 
 
-def test_concurrent_bans_are_merged() -> None:
+def test_concurrent_changes_are_merged_and_invalid_ones_have_no_effect() -> None:
     content = merged_documents.merge("bans", None, {"ban": {"a": 1}})
     content = merged_documents.merge("bans", content, {"ban": {"b": 2, "a": 9}})
     assert content == {"a": 1, "b": 2} and merged_documents.merge("bans", content, {"lift": ["a"]}) == {
         "b": 2
     }
-    full = {"index": 9, "snapshot": True, "endpoints": [{"name": "b", "status": "up"}]}
-    listed = merged_documents.merge("list", {"a": {"name": "a", "status": "up", "index": 3}}, full)
-    assert [it["name"] for it in merged_documents.to_discovery_answer(listed)["endpoints"]] == ["b"]
-    for bad in ({"ban": {"a": "x"}}, {"x": 1}, 5):
+    snapshot = {"index": 9, "snapshot": True, "endpoints": [{"name": "b", "status": "up"}]}
+    endpoints = merged_documents.merge("list", {"a": {"name": "a", "status": "up", "index": 3}}, snapshot)
+    assert [
+        endpoint["name"] for endpoint in merged_documents.to_discovery_answer(endpoints)["endpoints"]
+    ] == ["b"]
+    for invalid in ({"ban": {"a": "x"}}, {"x": 1}, 5):
         assert (
-            merged_documents.change_problem("bans", bad)
-            and merged_documents.merge("bans", content, bad) == content
+            merged_documents.change_problem("bans", invalid)
+            and merged_documents.merge("bans", content, invalid) == content
         )
 
 
 def test_retained_classes_are_validated() -> None:
-    good = {"Classes": [{"Name": "a"}], "kept": {"classes": ["a"], "for_s": 60}}
-    assert retained_classes.retention_problem(good) == "" and retained_classes.retained_classes_of(good) == (
+    valid = {"Classes": [{"Name": "a"}], "kept": {"classes": ["a"], "for_s": 60}}
+    assert retained_classes.retention_problem(valid) == "" and retained_classes.retained_classes_of(
+        valid
+    ) == (
         frozenset({"a"}),
         60 * S,
     )
-    wrong: list[Any] = [
+    invalid_tables: list[Any] = [
         {"classes": ["b"], "for_s": 60},
         {"classes": ["a"], "for_s": 0},
         {"classes": ["a"]},
@@ -384,20 +402,20 @@
         {"for": 1},
         [],
     ]
-    for bad in wrong:
-        assert retained_classes.retention_problem({**good, "kept": bad}).startswith("kept")
-    version = Version(1, 1, digest(good), good, "p", share=0.3)
-    share = sum(acts_on_staged(f"n{at}", version) for at in range(1000)) / 1000
+    for table in invalid_tables:
+        assert retained_classes.retention_problem({**valid, "kept": table}).startswith("kept")
+    version = Version(1, 1, digest(valid), valid, "p", share=0.3)
+    share = sum(acts_on_staged(f"n{number}", version) for number in range(1000)) / 1000
     assert 0.25 < share < 0.35 and digest({"b": 1, "a": 2}) == digest({"a": 2, "b": 1})
 
 
-def test_a_voter_with_a_one_way_link_to_the_leader_renews_elsewhere() -> None:
+def test_a_voter_with_a_one_way_link_to_the_leader_renews_at_another_source() -> None:
     cluster = VirtualCluster(9, 3, 1)
     cluster.run(3 * S)
     leader = next(
         name
-        for name, it in cluster.nodes.items()
-        if it.member and it.member.raft and it.member.raft.role is Role.LEADER
+        for name, candidate in cluster.nodes.items()
+        if candidate.member and candidate.member.raft and candidate.member.raft.role is Role.LEADER
     )
     voter = next(name for name in ("n0", "n1", "n2") if name != leader)
     cluster.cut_links({voter}, {leader}, one_way=True)
@@ -419,4 +437,7 @@
     cluster.run(31 * S)
     cluster.record_outcomes()
     assert check_history(cluster.events, T, cluster.now - 500 * MS) == []
-    assert any(it.node == "n4" and it.kind == "act" and it.time_ns > cluster.now - S for it in cluster.events)
+    assert any(
+        event.node == "n4" and event.kind == "act" and event.time_ns > cluster.now - S
+        for event in cluster.events
+    )
