--- a/puffinpost/consensus/leadership.py
+++ b/puffinpost/consensus/leadership.py
@@ -40,7 +40,7 @@
             self.retained_classes.on_version_replaced(before.active.content, after.active.content, now)
 
     def on_applied(self, proposal_id: str) -> None:
-        """Handles that an entry about a proposal was applied."""
+        """Notifies the rollout that an entry about a proposal was applied."""
         if self.rollout is not None:
             self.rollout.on_applied(proposal_id)
 
--- a/puffinpost/consensus/member_config.py
+++ b/puffinpost/consensus/member_config.py
@@ -64,7 +64,10 @@
 
     @property
     def preferred_follower_limit(self) -> int:
-        """How many followers prefer a source. The rest of its fan-out is for those of unresponsive ones."""
+        """The maximum number of followers that prefer one source.
+
+        The rest of its fan-out is for followers whose preferred source is unresponsive.
+        """
         return max(1, self.fanout // 2)
 
     def preferred_source(self, name: str) -> str:
