--- a/bench/told.py
+++ b/bench/told.py
@@ -25,7 +25,7 @@
     r"(?:.*? result=(\w+))?"
 )
 _CALL = re.compile(r"trace ms=(\d+) call (\S+) took_ms=(\d+) 200 ")
-# The first: of earlier versions.
+# The first alternative matches logs of earlier versions.
 _RELOAD = re.compile(r"reload: discovery at \S+,|reload: configuration accepted discovery=\S+ ")
 _PROCESS_START = re.compile(r"the console is at|admin server listening")  # the first: of earlier versions
 _NOT_SENT = ("CONNECT_FAILED", "SUPERSEDED")  # results of attempts without a first byte
--- a/puffinpost/runtime/graceful_shutdown.py
+++ b/puffinpost/runtime/graceful_shutdown.py
@@ -162,7 +162,7 @@
             frontend.close_connections()
 
     async def _wait_for_reads(self, deadline: float) -> None:
-        """Waits until clients have read their final answers: an exit would reset connections before that."""
+        """Waits until clients have read their final answers: an exit before that resets their connections."""
         await asyncio.sleep(POLL_INTERVAL_S)
         while self.admission.closing and self._now() < deadline:
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/puffinpost/runtime/handover_messages.py
+++ b/puffinpost/runtime/handover_messages.py
@@ -45,7 +45,7 @@
 
 
 class Takeover(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="yours"):
-    """Sent by the predecessor in answer to ``Ready``, with the sockets of its listening addresses."""
+    """Sent by the predecessor in answer to ``Ready``; its listening sockets are sent along in order."""
 
     process_id: int = msgspec.field(name="process")
     active_request_ids: list[int] = msgspec.field(name="idents")
