--- a/puffinpost/admin/ban_file.py
+++ b/puffinpost/admin/ban_file.py
@@ -63,7 +63,7 @@
                 self._repair(self.path, "is lost")
             return False
         except OSError as problem:
-            log.info("ban file not read", often=True, reason=problem)
+            log.info("ban file not read", high_volume=True, reason=problem)
             return False
         if version == self._version:
             return False
--- a/puffinpost/cluster/consensus_writer.py
+++ b/puffinpost/cluster/consensus_writer.py
@@ -79,7 +79,7 @@
             await loop.run_in_executor(self.executor, store.write, self._transaction(batch))
         except sqlite3.Error as problem:
             self.count("cluster_write_failed")
-            log.info("consensus write failed", reason=str(problem), often=True)
+            log.info("consensus write failed", reason=str(problem), high_volume=True)
             return False
         return True
 
--- a/puffinpost/cluster/replication_writer.py
+++ b/puffinpost/cluster/replication_writer.py
@@ -75,7 +75,7 @@
                 await loop.run_in_executor(self.executor, self.store.write, batch, positions)
             except sqlite3.Error as problem:
                 self.count("replica_write_failed")
-                log.info("replica write failed", reason=str(problem), often=True)
+                log.info("replica write failed", reason=str(problem), high_volume=True)
                 await asyncio.sleep(RETRY_DELAY_S)
             else:
                 return
--- a/puffinpost/frontends/mqtt/connection.py
+++ b/puffinpost/frontends/mqtt/connection.py
@@ -121,7 +121,7 @@
     def _on_protocol_error(self, error: MqttError) -> None:
         self.coordinator.counters.add("mqtt_bad_packets")
         peer = log.format_peer(self.connection.peer)
-        log.info(f"bad packet from an MQTT client at {peer}: {error}", often=True)
+        log.info(f"bad packet from an MQTT client at {peer}: {error}", high_volume=True)
         if self.session is None and self.parser.version:
             self._refuse(error.reason)
         else:
--- a/puffinpost/frontends/platform/session.py
+++ b/puffinpost/frontends/platform/session.py
@@ -239,7 +239,7 @@
         """Ends a connection whose client sent invalid input. None of it reaches an endpoint."""
         self.coordinator.counters.add("bad_lines")
         peer = log.format_peer(self.connection.peer)
-        log.info(f"bad line from a client at {peer}: {problem}", often=True)
+        log.info(f"bad line from a client at {peer}: {problem}", high_volume=True)
         if self.exchange is not None and not self.closed:
             self.coordinator.client_disconnected(self.exchange)
         self._close_with(lines.FAILED)
--- a/puffinpost/frontends/xmpp/connection.py
+++ b/puffinpost/frontends/xmpp/connection.py
@@ -45,7 +45,7 @@
         if self.stream.failure:
             self.coordinator.counters.add("xmpp_bad_streams")
             peer = log.format_peer(self.connection.peer)
-            log.info(f"bad stream from an XMPP client at {peer}: {self.stream.failure}", often=True)
+            log.info(f"bad stream from an XMPP client at {peer}: {self.stream.failure}", high_volume=True)
         if not self._header_received and self.stream.header_sent and not self.stream.ended:
             self._header_received = True
             self.frontend.admission.admit_pending(self, NEGOTIATION_TIMEOUT_S)
--- a/puffinpost/net/admin_server.py
+++ b/puffinpost/net/admin_server.py
@@ -103,7 +103,7 @@
 
     def evict(self) -> None:
         """Closes immediately, for a newer connection."""
-        log.info("admin server evicted an incomplete request", often=True)
+        log.info("admin server evicted an incomplete request", high_volume=True)
         self.connection.write(BUSY.encode())
         del self.server.incomplete[self]
         self.connection.stream.close()
--- a/puffinpost/net/discovery_client.py
+++ b/puffinpost/net/discovery_client.py
@@ -141,12 +141,12 @@
                 if connection is None or connection.stream.closed():
                     connection = await dial(self.address, CONNECT_TIMEOUT_S)
                 if connection is None:
-                    log.info("discovery unreachable", often=True)
+                    log.info("discovery unreachable", high_volume=True)
                     return CallFailure.UNREACHABLE
                 began_ns = time.monotonic_ns()
                 response = await self._call(connection)
                 if response is None:
-                    log.info("discovery call timed out", often=True)
+                    log.info("discovery call timed out", high_volume=True)
                     connection = None  # `_read_late` closes it
                     return CallFailure.TIMED_OUT
                 if response.status != STATUS_OK:
@@ -157,7 +157,7 @@
                 if pause_ns:
                     await asyncio.sleep(pause_ns / NS_PER_S)
         except TimeoutError:
-            log.info("discovery response incomplete", often=True)
+            log.info("discovery response incomplete", high_volume=True)
             return CallFailure.TIMED_OUT
         except (StreamClosedError, OSError, ValueError) as problem:
             log.info("discovery call failed", reason=f"{type(problem).__name__} {problem}")
--- a/puffinpost/observability/__init__.py
+++ b/puffinpost/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Counters and the log of a node."""
+"""The counters and the log of a node."""
--- a/puffinpost/runtime/cluster_state.py
+++ b/puffinpost/runtime/cluster_state.py
@@ -150,7 +150,7 @@
         now_ns = time.time_ns()
         proposal_id = f"{name}-{now_ns:x}"
         self.cluster.propose(Propose(proposal_id, document, content, name, reason, now_ns // NS_PER_S))
-        log.info("cluster: proposal sent", often=True, id=proposal_id, document=document, reason=reason)
+        log.info("cluster: proposal sent", high_volume=True, id=proposal_id, document=document, reason=reason)
         return proposal_id
 
     # --- settings -------------------------------------------------------------------------------------
--- a/puffinpost/runtime/history.py
+++ b/puffinpost/runtime/history.py
@@ -29,4 +29,4 @@
         try:
             self._file.write(orjson.dumps(event) + b"\n")
         except OSError as problem:  # guards the request in progress: it must not fail for a full disk
-            log.info("cluster: history not written", often=True, reason=problem)
+            log.info("cluster: history not written", high_volume=True, reason=problem)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -13,7 +13,7 @@
 from test_node import served as served_on_lines
 from xmpp_standins import HEADER, XmppWorld, opening
 
-from puffinpost.observability.log import MAX_CLIENT_LINES_PER_SECOND
+from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
 
 
 def named(node: Node, peer: Peer) -> str:
@@ -107,4 +107,4 @@
         assert node.client(b"GARBAGE\r\n").line() == b"ERR\r\n"
     assert node.counts()["bad_lines"] == 100
     said = len(re.findall("bad line from a client at", node.log.read_text()))
-    assert 1 <= said <= MAX_CLIENT_LINES_PER_SECOND * (time.monotonic() - began + 2)
+    assert 1 <= said <= MAX_HIGH_VOLUME_LINES_PER_SECOND * (time.monotonic() - began + 2)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -81,7 +81,7 @@
     log.configure(form)
     try:
         for number in range(30):
-            log.info("from a client", often=True, number=number)
+            log.info("from a client", high_volume=True, number=number)
         for number in range(30):
             log.info("for operators", number=number)
         now = 6.0
@@ -92,11 +92,11 @@
     if form == "json":
         told = [orjson.loads(line) for line in lines]
         assert [item["event"] for item in told] == (
-            ["from a client"] * log.MAX_CLIENT_LINES_PER_SECOND
-            + ["for operators"] * (log.MAX_LINES_PER_SECOND - log.MAX_CLIENT_LINES_PER_SECOND)
+            ["from a client"] * log.MAX_HIGH_VOLUME_LINES_PER_SECOND
+            + ["for operators"] * (log.MAX_LINES_PER_SECOND - log.MAX_HIGH_VOLUME_LINES_PER_SECOND)
             + ["after"]
         )
-        assert told[0]["number"] == 0 and told[-1]["dropped"] == 40 and "often" not in told[0]
+        assert told[0]["number"] == 0 and told[-1]["dropped"] == 40 and "high_volume" not in told[0]
     else:
         assert lines[0] == "puffinpost: from a client number=0"
         assert lines[-2:] == ["puffinpost: 40 lines dropped", "puffinpost: after"] and len(lines) == 22
