--- a/puffinpost/admin/__init__.py
+++ b/puffinpost/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators may do at a node: the admin server's calls, and the file of their bans."""
+"""Operators' requests to a node's admin server, and the file that stores their bans."""
--- a/puffinpost/admin/commands.py
+++ b/puffinpost/admin/commands.py
@@ -1,6 +1,6 @@
-"""The calls of the admin server: readiness, metrics, and operators' bans of endpoints.
+"""Handles the admin server's requests: readiness, metrics, and operators' bans of endpoints.
 
-The admin server hands it each complete call. It reads and bans through the coordinator, and knows no socket.
+The admin server passes each complete request to it. It works on the coordinator and uses no sockets itself.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from puffinpost.protocol.http import AdminResponse, Request
 from puffinpost.proxy.coordinator import Coordinator
 
-OUTCOMES = ("fulfilled", "throttled", "faulted")  # of each class; the names are the figures'
-COUNTED = ("relayed", "cfg_accepted", "cfg_invalid")
+OUTCOMES = ("fulfilled", "throttled", "faulted")  # counted by request class, under these names
+COUNTERS_WITHOUT_CLASS = ("relayed", "cfg_accepted", "cfg_invalid")
 MAX_ECHOED_CHARS = 80
 OK = HTTPStatus.OK
 
 
 class AdminCommands:
-    """Answers calls. ``not_ready_reason`` says why the node is not ready; empty where it is.
+    """Responds to requests. ``not_ready_reason`` returns why the node is not ready, or "" if it is ready.
 
-    ``propose_ban`` is set where nodes share bans: it proposes one to all nodes, or to lift one (None), and
-    returns the proposal's id.
+    ``propose_ban`` is set if nodes share bans: it proposes to all nodes to ban an endpoint, or to lift its
+    ban (None), and returns the proposal's id.
     """
 
     def __init__(
@@ -35,29 +35,29 @@
         self.not_ready_reason = not_ready_reason
         self.propose_ban: Callable[[str, int | None], str] | None = None
 
-    def answer(self, call: Request) -> AdminResponse:
-        """The answer to a call."""
-        match call.path.strip("/").split("/"):
+    def handle(self, request: Request) -> AdminResponse:
+        """Returns the response to a request."""
+        match request.path.strip("/").split("/"):
             case ["ready"]:
-                return self._only(call, "GET", self._ready)
+                return self._require_method(request, "GET", self._ready)
             case ["metrics"]:
-                return self._only(call, "GET", lambda: AdminResponse(OK, self.figures()))
+                return self._require_method(request, "GET", lambda: AdminResponse(OK, self.metrics()))
             case ["transcribers", ("disable" | "enable") as action, name] if name:
-                return self._only(call, "POST", lambda: self._set_ban(name, action == "disable"))
-        return AdminResponse(HTTPStatus.NOT_FOUND, f"there is no {call.path[:MAX_ECHOED_CHARS]}\n")
+                return self._require_method(request, "POST", lambda: self._set_ban(name, action == "disable"))
+        return AdminResponse(HTTPStatus.NOT_FOUND, f"there is no {request.path[:MAX_ECHOED_CHARS]}\n")
 
-    def figures(self) -> str:
-        """All figures, a line each, in the form of StatsD."""
+    def metrics(self) -> str:
+        """Returns all metrics in StatsD format, one per line."""
         return _statsd_lines("c", self._counters()) + _statsd_lines("g", self._gauges())
 
     def _counters(self) -> dict[str, int]:
         counters = self.coordinator.counters
-        figures = {
+        counts_by_class = {
             f"operations.{name}.{outcome}": counters.get(f"{outcome}.{name}")
             for name in self.coordinator.class_names
             for outcome in OUTCOMES
         }
-        return figures | {name: counters.get(name) for name in COUNTED}
+        return counts_by_class | {name: counters.get(name) for name in COUNTERS_WITHOUT_CLASS}
 
     def _gauges(self) -> dict[str, int]:
         coordinator = self.coordinator
@@ -68,8 +68,11 @@
         }
 
     def _set_ban(self, name: str, banned: bool) -> AdminResponse:
-        """Bans an endpoint or lifts its ban: in the file and in force here before the caller is answered."""
-        if self.coordinator.endpoint_list.find(name) is None and name not in self.ban_file.names:
+        """Bans an endpoint or lifts its ban, in the file and at this node before the response is sent.
+
+        If nodes share bans, the change is only proposed.
+        """
+        if self.coordinator.endpoint_list.find(name) is None and name not in self.ban_file.banned_since_ns:
             return AdminResponse(HTTPStatus.NOT_FOUND, f"there is no transcriber {name[:MAX_ECHOED_CHARS]}\n")
         since_ns = time.time_ns() if banned else None
         state = "banned" if banned else "in use"
@@ -83,19 +86,19 @@
             log.info("ban file not written", reason=problem)
             text = f"the ban cannot be kept: {problem.strerror}\n"
             return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, text)
-        self.coordinator.apply_bans(self.ban_file.names)
+        self.coordinator.apply_bans(self.ban_file.banned_since_ns)
         log.info(
             "endpoint banned by operator" if banned else "endpoint ban lifted by operator", endpoint=name
         )
         return AdminResponse(OK, f"{name} is {state}\n")
 
     @staticmethod
-    def _only(call: Request, method: str, answer: Callable[[], AdminResponse]) -> AdminResponse:
+    def _require_method(request: Request, method: str, handler: Callable[[], AdminResponse]) -> AdminResponse:
         allowed = ("GET", "HEAD") if method == "GET" else (method,)
-        if call.method in allowed:
-            return answer()
+        if request.method in allowed:
+            return handler()
         return AdminResponse(
-            HTTPStatus.METHOD_NOT_ALLOWED, f"{call.method} is not for this\n", ", ".join(allowed)
+            HTTPStatus.METHOD_NOT_ALLOWED, f"{request.method} is not for this\n", ", ".join(allowed)
         )
 
     def _ready(self) -> AdminResponse:
@@ -105,5 +108,5 @@
         return AdminResponse(OK, "ready\n")
 
 
-def _statsd_lines(kind: str, figures: dict[str, int]) -> str:
-    return "".join(f"app.{name}:{value}|{kind}\n" for name, value in figures.items())
+def _statsd_lines(metric_type: str, values: dict[str, int]) -> str:
+    return "".join(f"app.{name}:{value}|{metric_type}\n" for name, value in values.items())
--- a/puffinpost/runtime/ban_follower.py
+++ b/puffinpost/runtime/ban_follower.py
@@ -22,4 +22,4 @@
     def _poll(self) -> None:
         asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
         if self.node.ban_file.reload():
-            self.node.apply_bans(self.node.ban_file.names)
+            self.node.apply_bans(self.node.ban_file.banned_since_ns)
--- a/puffinpost/runtime/cluster_state.py
+++ b/puffinpost/runtime/cluster_state.py
@@ -177,7 +177,7 @@
     def apply_bans(self, banned: dict[str, int]) -> None:
         """All nodes ban these endpoints: names, each with when it was banned (Unix time, ns)."""
         ban_file = self.node.ban_file
-        for name in sorted(ban_file.names.keys() ^ banned.keys()):
+        for name in sorted(ban_file.banned_since_ns.keys() ^ banned.keys()):
             try:
                 ban_file.change(name, banned.get(name))
             except OSError as problem:
--- a/puffinpost/runtime/node.py
+++ b/puffinpost/runtime/node.py
@@ -73,7 +73,7 @@
         )
         self.ban_file = BanFile(configuration.shared_folder, configuration.name)
         commands = AdminCommands(self.coordinator, self.ban_file, self.readiness.not_ready_reason)
-        self.admin_server = AdminServer(commands.answer, call_later)
+        self.admin_server = AdminServer(commands.handle, call_later)
         self.cluster_state = self._create_cluster_state()
         if self.cluster_state is not None:
             commands.propose_ban = self.cluster_state.request_ban
--- a/puffinpost/runtime/node_process.py
+++ b/puffinpost/runtime/node_process.py
@@ -42,7 +42,7 @@
         """Serves until SIGTERM, then shuts down. ``blocked_signals`` are blocked until there are handlers."""
         self._handle_signals(blocked_signals)
         self._apply_startup_endpoint_list()
-        self.node.coordinator.apply_bans(self.node.ban_file.names)
+        self.node.coordinator.apply_bans(self.node.ban_file.banned_since_ns)
         BanFollower(self.node).start()
         self._open_admin_server()
         if self.node.cluster_state is not None:
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -96,9 +96,9 @@
     path = next(tmp_path.glob("*.bans"))
     path.write_bytes(b"\xff\x00")
     bans = BanFile(str(tmp_path), "n0")
-    assert bans.names == {} and path.read_bytes() == b"{}"
+    assert bans.banned_since_ns == {} and path.read_bytes() == b"{}"
     bans.change("s-1", 7)
-    assert BanFile(str(tmp_path), "n0").names == {"s-1": 7}
+    assert BanFile(str(tmp_path), "n0").banned_since_ns == {"s-1": 7}
 
 
 def test_ban_that_cannot_be_written_is_rejected(world: World) -> None:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -140,7 +140,7 @@
     path = tmp_path / "puffinpost-n0.bans"
     shutil.copy(DATA / "bans", path)
     bans = BanFile(str(tmp_path), "n0")
-    assert bans.names == {"s-1": 1796219372365918326, "\u0635\u0648\u062a": 5}
+    assert bans.banned_since_ns == {"s-1": 1796219372365918326, "\u0635\u0648\u062a": 5}
     bans.change("s-2", 1)
     bans.change("s-2", None)
     assert path.read_bytes() == (DATA / "bans").read_bytes()
