--- a/puffinpost/cluster/consensus_driver.py
+++ b/puffinpost/cluster/consensus_driver.py
@@ -1,6 +1,6 @@
-"""Drives this node's consensus member: its clock, its links and its store.
+"""Drives this node's consensus member: supplies the time, the links and the store.
 
-`runtime.cluster_state` makes it, and asks it before each request. It decides nothing itself.
+`runtime.cluster_state` creates it and queries it before each request. It makes no decisions itself.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 NS_PER_S = 1e9
 MIN_TICK_INTERVAL_S = 0.002
-RETRY_TICK_S = 0.1  # after a tick that failed
-FOLLOWER_IDENTITY = "follower"  # of a node without a store
+TICK_RETRY_DELAY_S = 0.1  # after a tick that failed
+FOLLOWER_IDENTITY = "follower"  # the identity of a node without a store
 
 
 class ConsensusDriver:
-    """This node in the cluster.
+    """This node's part in the cluster.
 
-    ``validate`` returns the problem that keeps the node from acting on a document's content, or nothing;
-    ``on_version_change`` is called once it acts on another version, ``on_replicated`` for changed replicated
-    rows.
+    ``validate`` returns the problem that keeps the node from acting on a document's content, or "";
+    ``on_version_change`` is called once the node acts on another version, ``on_rows_changed`` when replicated
+    rows have changed.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         validate: Callable[[str, Any], str],
         on_version_change: Callable[[str, Version], None],
         count: Callable[[str], None],
-        on_replicated: Callable[[set[tuple[str, str]]], None],
+        on_rows_changed: Callable[[set[tuple[str, str]]], None],
     ) -> None:
         self.config, self.count = config, count
         store = ConsensusStore(config.folder) if config.folder is not None else None
@@ -57,9 +57,9 @@
         self.member.active_versions.change_listeners.append(on_version_change)
         self.writer = ConsensusWriter(store, self.member.raft, self._on_written, count)
         self.links = Links(self._link_context(store.token if store is not None else ""), rng)
-        self.replica = self._make_replica(seed, on_replicated)
+        self.replica = self._create_replica(seed, on_rows_changed)
         self.operator_service = OperatorService(
-            self.member, self.propose, self._replica_answer, self.links.connected_count, self.clock
+            self.member, self.propose, self._answer_replica_query, self.links.connected_count, self.clock
         )
         self.timer: asyncio.TimerHandle | None = None
 
@@ -74,29 +74,29 @@
             token,
         )
 
-    def _make_replica(
-        self, seed: int, on_replicated: Callable[[set[tuple[str, str]]], None]
+    def _create_replica(
+        self, seed: int, on_rows_changed: Callable[[set[tuple[str, str]]], None]
     ) -> ReplicationDriver | None:
         if not self.config.replica.on:
             return None
-        # Loaded only where it is on.
+        # Imported only if replication is enabled.
         from puffinpost.cluster.replication_driver import CAPABILITY, ReplicationDriver
 
         self.member.capabilities = (CAPABILITY,)
-        return ReplicationDriver(self.config, seed, self.links, self.count, on_replicated)
+        return ReplicationDriver(self.config, seed, self.links, self.count, on_rows_changed)
 
     def clock(self) -> int:
-        """Ns of a clock that also runs while the machine or this process is suspended."""
+        """Returns ns of a clock that also runs while the machine or this process is suspended."""
         return int(time.clock_gettime_ns(time.CLOCK_BOOTTIME) * self.config.clock_rate)
 
     def restore_documents(self) -> None:
-        """Acts on the documents from before the start; called once the rest of the node is ready."""
+        """Acts on the documents in the store; called once the rest of the node is ready."""
         for document in self._stored_documents:
             self.member.active_versions.update(document)
         self._stored_documents = []
 
     def start(self) -> None:
-        """Listens, introduces a voter to the others, and begins to renew the lease."""
+        """Listens, sends a voter's ``Hello`` to the other voters, and begins to renew the lease."""
         config, member = self.config.plan, self.member
         host, port = self.config.listen
         self.links.listen(port, host)
@@ -122,11 +122,11 @@
         await self.writer.close()
 
     def can_start(self, request_class: str) -> bool:
-        """Whether a new request of a class may be started now."""
+        """Returns whether a new request of a class may be started now."""
         return self.member.can_start(request_class, self.clock())
 
     def propose(self, proposal: Propose) -> None:
-        """Proposes a version of a document, or a change of one."""
+        """Proposes a version of a document, or a change to a document."""
         self.member.propose(proposal)
         self.member.renew_now()
         self._tick_soon()
@@ -142,9 +142,9 @@
     def _tick_guarded(self) -> None:
         try:
             self._tick()
-        except Exception:  # noqa: BLE001 (border of the timer: the rest of the node goes on)
-            log.exception("consensus")
-            self._schedule(RETRY_TICK_S)
+        except Exception:  # noqa: BLE001 (a defect in a tick must not stop the timer)
+            log.exception("consensus tick failed")
+            self._schedule(TICK_RETRY_DELAY_S)
 
     def _tick_soon(self) -> None:
         if self.timer is not None:
@@ -164,13 +164,13 @@
                 self.replica.on_connected(sender)
         try:
             self.member.receive(sender, identity, message, self.clock(), link)
-        except Exception:  # noqa: BLE001 (border of one message: it is lost, as any message may be)
+        except Exception:  # noqa: BLE001 (a defect must not end the link: one message is lost, as any may be)
             self.count("cluster_exceptions")
-            log.exception("consensus")
+            log.exception("consensus message failed")
         self.writer.submit(self.member.take_output())
 
     def _on_written(self, output: Output) -> None:
-        """Sends what waited for the disk, and acts on it."""
+        """Sends the messages of an output that is on disk, and lets the member act on it."""
         for name, message in output.ready.messages:
             self.links.send(name, message)
         for link, message in output.replies:
@@ -178,12 +178,12 @@
                 link.send(message)
         self.member.persisted(output)
         if output.ready.must_persist():
-            self._tick_soon()  # what is on disk now may be committed
+            self._tick_soon()  # the entries that are on disk now may be committed
 
     # --- operators ------------------------------------------------------------------------------------
 
     def _on_operator_query(self, query: OperatorQuery) -> OperatorReply:
         return self.operator_service.answer(query)
 
-    def _replica_answer(self, subject: str) -> Any:
+    def _answer_replica_query(self, subject: str) -> Any:
         return self.replica.answer(subject) if self.replica is not None else {}
--- a/puffinpost/cluster/consensus_store.py
+++ b/puffinpost/cluster/consensus_store.py
@@ -1,8 +1,8 @@
-"""A node's consensus state on disk: one SQLite file in its folder (https://sqlite.org/atomiccommit.html).
+"""Stores a node's consensus state in one SQLite file in its folder (https://sqlite.org/atomiccommit.html).
 
 Each write is one transaction, synced before it returns; the caller writes from one thread, in order.
-SQLite's pages have no checksum, so each value has its own (CRC-32, over its location too), which detects a
-flipped bit as well as a value in the wrong place.
+SQLite pages have no checksum, so each value has its own (CRC-32 of its location and the value), which detects
+both a flipped bit and a value at the wrong location.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 DATABASE_FILE, LOCK_FILE, TOKEN_FILE = "agreement.sqlite", "lock", "operator-token"
 FORMAT_VERSION = 2
-FORMAT_WITHOUT_CHECKSUMS = b"1"  # is upgraded; no other version is read
+FORMAT_WITHOUT_CHECKSUMS = b"1"  # upgraded when opened; any other version is rejected
 CHECKSUM_SIZE = 4
 IDENTITY_SIZE, TOKEN_SIZE = 8, 16  # bytes
 TABLES = """
@@ -35,13 +35,14 @@
 
 
 class StoreError(PuffinpostError):
-    """The folder cannot be used; the text says why."""
+    """The folder cannot be used; the text states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """What one write changes. ``entries`` replace all from ``first_changed_index`` on; None: nothing
-    changes.
+    """The changes of one write; None leaves a value unchanged.
+
+    ``entries`` replace all stored entries from ``first_changed_index`` on.
     """
 
     hard_state: HardState | None = None
@@ -52,23 +53,23 @@
 
 
 def with_checksum(location: str, value: bytes) -> bytes:
-    """A value after the checksum of its location and itself."""
+    """Returns a value with the checksum of its location and content in front."""
     checksum = zlib.crc32(value, zlib.crc32(location.encode()))
     return checksum.to_bytes(CHECKSUM_SIZE, "big") + value
 
 
 def verified(location: str, stored: bytes) -> bytes:
-    """The value. Raises ``StoreError`` where it is not what was written at this location."""
+    """Returns the value. Raises ``StoreError`` if it is not what was written at this location."""
     value = stored[CHECKSUM_SIZE:]
     if with_checksum(location, value) != stored:
-        raise StoreError(f"{location} is damaged: its checksum is wrong")
+        raise StoreError(f"{location} is damaged: checksum mismatch")
     return value
 
 
 class ConsensusStore:
-    """A node's folder. Raises ``StoreError`` where another process uses it, or it cannot be read.
+    """A node's folder. Raises ``StoreError`` if another process uses it or it cannot be read.
 
-    ``identity`` is drawn with a new file; ``token`` is what an operator shows to query the node.
+    ``identity`` is generated with a new file; ``token`` is the secret that operators need to query the node.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -86,7 +87,7 @@
             self._lock = (folder / LOCK_FILE).open("wb")
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise StoreError(f"{folder}: another process has it") from None
+            raise StoreError(f"{folder}: in use by another process") from None
         except OSError as problem:
             raise StoreError(f"{folder}: {problem.strerror}") from None
 
@@ -101,7 +102,7 @@
         self._database.executescript(TABLES)
 
     def _initialize(self) -> str:
-        """Fills a new file, or upgrades one of format 1; the identity."""
+        """Initializes a new file or upgrades one of format 1, and returns the node's identity."""
         row = self._database.execute("SELECT value FROM one WHERE name = 'form'").fetchone()
         version = bytes(row[0]) if row is not None else None
         if version is None:
@@ -113,10 +114,10 @@
             self._add_checksums()
         elif version != str(FORMAT_VERSION).encode():
             text = version.decode(errors="replace")
-            raise StoreError(f"the file is of form {text}, and {FORMAT_VERSION} is wanted")
+            raise StoreError(f"unsupported file format {text}, expected {FORMAT_VERSION}")
         identity = self._get("identity")
         if identity is None:
-            raise StoreError("it has no identity")
+            raise StoreError("the file has no identity")
         return identity.decode()
 
     def _write_format_version(self) -> None:
@@ -140,7 +141,7 @@
     # --- reading --------------------------------------------------------------------------------------
 
     def read(self) -> tuple[PersistentState, list[Document]]:
-        """The voter's state, and the documents that this node acted on. Raises ``StoreError``."""
+        """Returns the voter's state and the documents that this node acted on. Raises ``StoreError``."""
         hard_state_value, snapshot_value = self._get("hard"), self._get("snapshot")
         hard_state, snapshot = HardState(0, ""), Snapshot()
         if hard_state_value:
@@ -173,7 +174,7 @@
     # --- writing --------------------------------------------------------------------------------------
 
     def write(self, transaction: Transaction) -> None:
-        """Writes all of it or nothing; it is on disk once this returns. Raises ``sqlite3.Error``."""
+        """Writes a transaction atomically; it is on disk once this returns. Raises ``sqlite3.Error``."""
         with self._database:
             self._database.execute("BEGIN IMMEDIATE")
             if transaction.hard_state is not None:
--- a/puffinpost/cluster/consensus_writer.py
+++ b/puffinpost/cluster/consensus_writer.py
@@ -1,7 +1,7 @@
 """Writes a member's output to disk off the event loop, in order, before its messages are sent.
 
-`consensus_driver` hands in each output. All that waits is written in one transaction, since the cost of a
-commit is its sync; a failed write is retried, and nothing of it is sent until it succeeds.
+`consensus_driver` submits each output. All queued outputs are written in one transaction, because the cost of
+a commit is its sync. A failed write is retried, and none of its messages are sent until it succeeds.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from puffinpost.observability import log
 
 RETRY_DELAY_S = 0.2
-STOP_TIMEOUT_S = 1.0  # a full disk may block the last write
+STOP_TIMEOUT_S = 1.0  # limited, because a full disk may block the last write
 
 
 class ConsensusWriter:
-    """Owns the thread that writes to a store. Without a store, outputs are only kept in order.
+    """Owns the thread that writes to a store. Without a store, it only keeps outputs in order.
 
-    ``on_written`` gets each output once it is on disk.
+    ``on_written`` is called with each output once it is on disk.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def submit(self, output: Output) -> None:
-        """Writes an output; at once done where nothing is to be written and no write is under way."""
+        """Queues an output, or passes it on at once if nothing is to be written and no write is running."""
         if self.task is None and not (output.ready.must_persist() or output.updated_documents):
             self.on_written(output)
             return
@@ -52,7 +52,7 @@
             self.task = asyncio.ensure_future(self._run())
 
     async def close(self) -> None:
-        """Waits a limited time for the current write, and closes the store."""
+        """Waits a limited time for the current write, then closes the store."""
         if self.task is not None:
             await asyncio.wait({self.task}, timeout=STOP_TIMEOUT_S)
             self.task.cancel()
@@ -73,7 +73,7 @@
         self.task = None
 
     async def _write(self, store: ConsensusStore, batch: list[Output]) -> bool:
-        """Whether the batch is on disk."""
+        """Writes a batch and returns whether it is on disk."""
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(self.executor, store.write, self._transaction(batch))
@@ -84,9 +84,10 @@
         return True
 
     def _transaction(self, batch: list[Output]) -> Transaction:
-        """One transaction for all of a batch.
+        """Combines a batch into one transaction.
 
-        The log as it is now has all entries of the batch; those that came later are written early.
+        Entries are taken from the current log, which has all entries of the batch; later entries in it are
+        written ahead of their own output.
         """
         batch_ready = [output.ready for output in batch]
         hard_states = [ready.hard_state for ready in batch_ready if ready.hard_state is not None]
--- a/puffinpost/cluster/frames.py
+++ b/puffinpost/cluster/frames.py
@@ -1,7 +1,7 @@
-"""Frames on a link between nodes, without I/O: a length, a checksum (CRC-32) and a message in MessagePack.
+"""Encodes and decodes frames between nodes: a length, a checksum (CRC-32) and a message in MessagePack.
 
-`links` and `operator` send and receive them. A frame that is too long, is damaged or holds no known message
-makes its link unusable, and no other.
+It does no I/O: `links` and `operator` send and receive the frames. A frame that is too long, is damaged or
+holds no known message makes its own link unusable, and no other.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 
 
 def register_messages(messages: Any) -> None:
-    """Makes this process understand further messages, given as a union of structs."""
+    """Adds messages, given as a union of structs, to those that this process decodes."""
     global _decoder
     _decoder = msgspec.msgpack.Decoder(Frame | messages)
 
 
 class FrameFault(StrEnum):
-    """What is wrong with a frame, by the name under which it is counted."""
+    """What is wrong with a frame. The value is part of the name of its counter."""
 
     OVERSIZED = "oversized"
     GARBLED = "garbled"
 
 
 class FrameError(PuffinpostError):
-    """A frame that cannot be read."""
+    """A frame cannot be decoded."""
 
     def __init__(self, fault: FrameFault, text: str) -> None:
         super().__init__(text)
@@ -45,19 +45,19 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """The frame of a message."""
+    """Encodes a message as a frame."""
     body = _encoder.encode(message)
     return HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 class FrameDecoder:
-    """Turns bytes, in pieces of any size, into messages."""
+    """Decodes messages from a byte stream that arrives in pieces of any size."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The messages that are complete. Raises ``FrameError``, after which the link is of no use."""
+        """Returns the complete messages. Raises ``FrameError``, after which the link must be closed."""
         self._buffer += data
         messages: list[Frame] = []
         position = 0
@@ -68,18 +68,18 @@
         return messages
 
     def _body_at(self, position: int) -> bytes | None:
-        """The checked body of the frame at a position; None while it is incomplete."""
+        """Returns the verified body of the frame at a position, or None while it is incomplete."""
         start = position + HEADER.size
         if len(self._buffer) < start:
             return None
         length, checksum = HEADER.unpack_from(self._buffer, position)
         if length > MAX_MESSAGE_SIZE:
-            raise FrameError(FrameFault.OVERSIZED, f"a frame of {length} bytes")
+            raise FrameError(FrameFault.OVERSIZED, f"frame of {length} bytes is too long")
         if len(self._buffer) < start + length:
             return None
         body = bytes(self._buffer[start : start + length])
         if zlib.crc32(body) != checksum:
-            raise FrameError(FrameFault.GARBLED, "a checksum is wrong")
+            raise FrameError(FrameFault.GARBLED, "frame checksum mismatch")
         return body
 
 
--- a/puffinpost/cluster/links.py
+++ b/puffinpost/cluster/links.py
@@ -1,7 +1,7 @@
-"""Links between nodes: one TCP connection in each direction that is used, reconnected while both nodes run.
+"""Links between nodes: one TCP connection per direction in use, reconnected while both nodes run.
 
-A node's own messages go out on the connection that it made, and only replies go back on a connection that
-another made. Messages may be lost with a link. A peer that is no member of the same cluster is disconnected
+A node sends its own messages on the connections that it opened, and only replies on a connection that another
+node opened. Messages may be lost with a link. A peer that is not a member of the same cluster is disconnected
 and counted.
 """
 
@@ -33,9 +33,9 @@
 HANDSHAKE_TIMEOUT_S = 2.0
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 1.0
-MAX_QUEUED_MESSAGES = 256  # while a link is down; of more, the oldest are lost
-MAX_UNREAD_BYTES = 1024 * 1024  # a link whose other end reads less is closed
-TCP_USER_TIMEOUT_MS = 5000  # RFC 5482: a link whose bytes are not acknowledged is closed
+MAX_QUEUED_MESSAGES = 256  # while a link is down; beyond that, the oldest are dropped
+MAX_UNSENT_BYTES = 1024 * 1024  # a link whose peer lets more than this queue up is closed
+TCP_USER_TIMEOUT_MS = 5000  # RFC 5482: a link is closed if sent bytes stay unacknowledged this long
 READ_SIZE = 65536
 OPERATOR_NAME = "@operator"
 Address = tuple[str, int]
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkContext:
-    """What links need of their node. ``token``: the secret with which an operator on this machine connects.
+    """What links need from their node. ``token``: the secret with which an operator on this machine connects.
 
-    ``on_message`` gets the sender's name and identity, the message, and the link for a reply, if there is
-    one.
+    ``on_message`` receives the sender's name and identity, the message, and the link for a reply, if there
+    is one.
     """
 
     cluster: str
@@ -59,18 +59,18 @@
 
 
 class LinkRejection(StrEnum):
-    """Why a peer is disconnected, by the name under which it is counted."""
+    """Why a peer is disconnected. The value is part of the name of its counter."""
 
-    NOT_INTRODUCED = "not_introduced"
+    NO_HELLO = "not_introduced"
     OTHER_CLUSTER = "foreign"
     OTHER_PROTOCOL = "other_protocol"
     NOT_MEMBER = "not_member"
 
 
-def check_introduction(context: LinkContext, frame: Frame) -> Hello | LinkRejection:
-    """A peer's first frame, where the link may be used; otherwise why not."""
+def check_hello(context: LinkContext, frame: Frame) -> Hello | LinkRejection:
+    """Returns a peer's first frame if the link may be used, otherwise why it may not."""
     if not isinstance(frame, Hello):
-        return LinkRejection.NOT_INTRODUCED
+        return LinkRejection.NO_HELLO
     if frame.cluster != context.cluster:
         return LinkRejection.OTHER_CLUSTER
     if frame.protocol != PROTOCOL_VERSION:
@@ -83,28 +83,28 @@
 
 
 def configure_stream(stream: IOStream) -> IOStream:
-    """Sets the limits of a link's stream. Raises ``StreamClosedError`` where it is closed already."""
+    """Sets the limits of a link's stream. Raises ``StreamClosedError`` if it is already closed."""
     if stream.closed():
         raise StreamClosedError
     stream.set_nodelay(True)
-    stream.max_write_buffer_size = MAX_UNREAD_BYTES
+    stream.max_write_buffer_size = MAX_UNSENT_BYTES
     stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     return stream
 
 
 class IncomingLink:
-    """A connection that another node made; it carries replies only."""
+    """A connection that another node opened; this node sends only replies on it."""
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
 
     def send(self, message: Frame) -> None:
-        """Sends a reply; lost where the link is down."""
+        """Sends a reply, which is lost if the link is down."""
         _write(self.stream, encode(message))
 
 
 class OutgoingLink:
-    """This node's connection to one other, which it makes again whenever it ends."""
+    """This node's connection to another node, reconnected whenever it ends."""
 
     def __init__(self, context: LinkContext, name: str, rng: random.Random) -> None:
         self.context, self.name, self.rng = context, name, rng
@@ -136,12 +136,12 @@
             pass
         except FrameError as problem:
             self.context.count(f"cluster_{problem.fault}")
-        except Exception:  # noqa: BLE001 (border of one link: it is made again, whatever went wrong on it)
+        except Exception:  # noqa: BLE001 (a defect must not stop the reconnection of the link)
             self.context.count("cluster_exceptions")
-            log.exception(f"cluster link to {self.name}")
+            log.exception(f"cluster link to {self.name} failed")
 
     async def _connect(self) -> None:
-        """Connects, and receives until the link ends."""
+        """Connects, and receives messages until the link ends."""
         context = self.context
         stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         try:
@@ -149,12 +149,12 @@
             await configure_stream(stream).write(encode(context.hello()))
             decoder = FrameDecoder()
             first, *frames = await asyncio.wait_for(_read_frames(stream, decoder), HANDSHAKE_TIMEOUT_S)
-            hello = check_introduction(context, first)
+            hello = check_hello(context, first)
             if isinstance(hello, LinkRejection) or hello.name != self.name:
                 reason = hello if isinstance(hello, LinkRejection) else LinkRejection.NOT_MEMBER
                 context.count(f"cluster_{reason}")
                 return
-            self._up(stream, hello)
+            self._on_connected(stream, hello)
             while True:
                 for frame in frames:
                     self._on_frame(hello, frame)
@@ -163,7 +163,7 @@
             self.stream = None
             stream.close()
 
-    def _up(self, stream: IOStream, hello: Hello) -> None:
+    def _on_connected(self, stream: IOStream, hello: Hello) -> None:
         self.stream = stream
         while self.queue:
             _write(stream, self.queue.popleft())
@@ -184,18 +184,18 @@
         self.incoming: set[IOStream] = set()
 
     def connected_count(self) -> int:
-        """How many of this node's own links are up."""
+        """Returns how many of this node's outgoing links are connected."""
         return sum(link.stream is not None for link in self.outgoing.values())
 
     def send(self, name: str, message: msgspec.Struct) -> None:
-        """Sends a message to a member; lost where there is none of that name, or no link for long."""
+        """Sends a message to a member. It is lost if the name is unknown or the link stays down for long."""
         if name in self.context.members:
             if name not in self.outgoing:
                 self.outgoing[name] = OutgoingLink(self.context, name, self.rng)
             self.outgoing[name].send(message)
 
     async def handle_stream(self, stream: IOStream, _address: Address) -> None:
-        """Serves a connection that another node, or an operator, has made."""
+        """Serves a connection that another node or an operator has opened."""
         self.incoming.add(stream)
         try:
             await self._serve(stream)
@@ -211,7 +211,7 @@
         context, decoder = self.context, FrameDecoder()
         configure_stream(stream)
         first, *frames = await asyncio.wait_for(_read_frames(stream, decoder), HANDSHAKE_TIMEOUT_S)
-        hello = check_introduction(context, first)
+        hello = check_hello(context, first)
         if isinstance(hello, LinkRejection):
             context.count(f"cluster_{hello}")
             return
@@ -243,14 +243,14 @@
 
 
 async def _read_frames(stream: IOStream, decoder: FrameDecoder) -> list[Frame]:
-    """The next frames, at least one."""
+    """Waits for and returns the next frames, at least one."""
     while not (frames := decoder.feed(await stream.read_bytes(READ_SIZE, partial=True))):
         pass
     return frames
 
 
 def _write(stream: IOStream, data: bytes) -> None:
-    """Writes without waiting; a link whose other end does not read is closed."""
+    """Writes without waiting; a link whose peer does not read is closed."""
     if stream.closed():
         return
     try:
@@ -260,6 +260,6 @@
 
 
 def _retrieve_exception(written: asyncio.Future[None]) -> None:
-    """Keeps asyncio from logging it: a lost link is noticed where it is read."""
+    """Keeps asyncio from logging the exception: the reading side detects a lost link."""
     if not written.cancelled():
         written.exception()
--- a/puffinpost/cluster/operator.py
+++ b/puffinpost/cluster/operator.py
@@ -1,6 +1,6 @@
-"""An operator's queries to a node on this machine, in the cluster's own frames.
+"""Sends an operator's queries to a node on this machine, in the frames of the cluster protocol.
 
-The command line uses it. Whoever can read the node's folder may query it, with the token that is there.
+The command line uses it. Anyone who can read the node's folder may query the node with the token in it.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 )
 from puffinpost.errors import PuffinpostError
 
-ANSWER_TIMEOUT_S = 5.0
+REPLY_TIMEOUT_S = 5.0
 OUTCOME_POLL_INTERVAL_S = 0.05
 TOKEN_FILE = "operator-token"
 
 
 class OperatorQueryError(PuffinpostError):
-    """A query without an answer."""
+    """A query failed, or had no reply in time."""
 
 
 async def query_node(address: Address, cluster: str, folder: Path, query: OperatorQuery) -> Any:
-    """The answer to a query, from JSON. Raises ``OperatorQueryError`` where there is none in time."""
+    """Sends a query and returns the reply, decoded from JSON. Raises ``OperatorQueryError``."""
     try:
         token = (folder / TOKEN_FILE).read_text()
     except OSError as problem:
@@ -44,14 +44,14 @@
     client = TCPClient()
     hello = Hello(cluster, PROTOCOL_VERSION, OPERATOR_NAME, token)
     try:
-        return await asyncio.wait_for(_exchange(client, address, hello, query), ANSWER_TIMEOUT_S)
+        return await asyncio.wait_for(_send_query(client, address, hello, query), REPLY_TIMEOUT_S)
     except (OSError, StreamClosedError, TimeoutError, FrameError) as problem:
-        raise OperatorQueryError(f"{address[0]}:{address[1]}: {problem or 'no answer'}") from None
+        raise OperatorQueryError(f"{address[0]}:{address[1]}: {problem or 'no reply in time'}") from None
     finally:
         client.close()
 
 
-async def _exchange(client: TCPClient, address: Address, hello: Hello, query: OperatorQuery) -> Any:
+async def _send_query(client: TCPClient, address: Address, hello: Hello, query: OperatorQuery) -> Any:
     stream = await client.connect(*address)
     try:
         await stream.write(encode(hello) + encode(query))
@@ -67,7 +67,7 @@
 async def propose_and_wait(
     address: Address, cluster: str, folder: Path, proposal: Propose, timeout_s: float
 ) -> dict[str, str]:
-    """Proposes, and waits for the final outcome. Raises ``OperatorQueryError`` where none comes in time."""
+    """Proposes, and waits for the final outcome. Raises ``OperatorQueryError`` if there is none in time."""
     loop, proposal_id = asyncio.get_running_loop(), proposal.proposal_id
     await query_node(address, cluster, folder, OperatorQuery(QueryKind.PROPOSE, proposal=proposal))
     deadline_s = loop.time() + timeout_s
@@ -77,4 +77,4 @@
         if result.get("outcome") not in (None, ProposalOutcome.STAGED):
             return result
         await asyncio.sleep(OUTCOME_POLL_INTERVAL_S)
-    raise OperatorQueryError(f"{proposal_id} is not decided after {timeout_s:g} s; `status` says more")
+    raise OperatorQueryError(f"proposal {proposal_id} is not decided after {timeout_s:g} s; see `status`")
--- a/puffinpost/cluster/operator_service.py
+++ b/puffinpost/cluster/operator_service.py
@@ -1,6 +1,6 @@
 """Answers operators' queries about consensus and replication.
 
-`consensus_driver` hands in the queries of links that showed the operator's token.
+`consensus_driver` passes on the queries of links that authenticated with the operator's token.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class OperatorService:
-    """The answers of one node.
+    """Answers the queries to one node.
 
-    ``replica_answer`` returns the status of replicated state or some of its rows; ``connected_links`` how
-    many of this node's links are up; ``clock`` ns as the member's calls take them.
+    ``answer_replica_query`` returns the status of replicated state or some of its rows; ``connected_links``
+    returns how many outgoing links are connected; ``clock`` returns the member's time in ns.
     """
 
     def __init__(
         self,
         member: Member,
         propose: Callable[[Propose], None],
-        replica_answer: Callable[[str], Any],
+        answer_replica_query: Callable[[str], Any],
         connected_links: Callable[[], int],
         clock: Callable[[], int],
     ) -> None:
         self.member = member
         self.propose = propose
-        self.replica_answer = replica_answer
+        self.answer_replica_query = answer_replica_query
         self.connected_links = connected_links
         self.clock = clock
 
     def answer(self, query: OperatorQuery) -> OperatorReply:
-        """Answers a query; one of an unknown kind with the status."""
+        """Answers a query; a query of an unknown kind is answered with the status."""
         return OperatorReply(msgspec.json.encode(self._answer(query)))
 
     def _answer(self, query: OperatorQuery) -> Any:
@@ -48,7 +48,7 @@
             result = self.member.outcome(query.subject)
             return {} if result is None else {"outcome": result.outcome, "problem": result.problem}
         if query.kind == QueryKind.REPLICA:
-            return self.replica_answer(query.subject)
+            return self.answer_replica_query(query.subject)
         if query.kind == QueryKind.DOCUMENT:
             return document_history(self.member, query.subject)
         return node_status(self.member, self.clock(), self.connected_links())
--- a/puffinpost/cluster/replication_driver.py
+++ b/puffinpost/cluster/replication_driver.py
@@ -1,4 +1,4 @@
-"""Drives `replication.member.Member`: hands it the time and messages, sends its messages, stores its changes.
+"""Drives `replication.member.Member`: passes it the time and messages, sends and stores its output.
 
 `ConsensusDriver` owns the driver and shares its links with it; the rest of the node writes values through it.
 """
@@ -26,7 +26,7 @@
 from puffinpost.replication.row_values import RowValue
 from puffinpost.replication.rows import RowKey
 
-CAPABILITY = "replica"  # in the introduction of a node that understands replication messages
+CAPABILITY = "replica"  # in the `Hello` of a node that understands replication messages
 MIN_TICK_INTERVAL_S = 0.002
 NS_PER_S = 1e9
 NS_PER_MS = 1_000_000
@@ -35,7 +35,7 @@
 
 
 class ReplicationDriver:
-    """This node's replicas. ``on_changed`` is called with the keys whose rows have changed."""
+    """This node's replicas. ``on_rows_changed`` is called with the keys whose rows have changed."""
 
     def __init__(
         self,
@@ -43,14 +43,14 @@
         seed: int,
         links: Links,
         count: Callable[[str], None],
-        on_changed: Callable[[set[RowKey]], None],
+        on_rows_changed: Callable[[set[RowKey]], None],
     ) -> None:
         register_messages(messages.Message)
         self.config = config
         self.links = links
         self.count = count
-        self.on_changed = on_changed
-        store = ReplicaStore(config.folder, self._store_set_aside) if config.folder is not None else None
+        self.on_rows_changed = on_rows_changed
+        store = ReplicaStore(config.folder, self._on_store_unreadable) if config.folder is not None else None
         positions, rows = store.read() if store is not None else ([], [])
         self.is_first_start = not positions  # this node has never stored replicated state
         rng = random.Random(f"{seed}.{config.plan.name}.replica")
@@ -64,25 +64,25 @@
         self.scheduled_tick: asyncio.Handle | None = None
 
     def now_ns(self) -> int:
-        """Monotonic time in ns, which includes the time that the machine or this process is suspended."""
+        """Returns monotonic time in ns, including time while the machine or this process was suspended."""
         return int(time.clock_gettime_ns(time.CLOCK_BOOTTIME) * self.config.clock_rate)
 
     def wall_clock_ms(self) -> int:
-        """Unix time in ms."""
+        """Returns Unix time in ms."""
         offset_ms = self.test_override("wall-off")
         return time.time_ns() // NS_PER_MS + int(offset_ms[0] if offset_ms else 0)
 
     def test_override(self, name: str) -> list[float]:
-        """Numbers that a fault test has written to a file for this process; empty in production."""
+        """Returns numbers that a fault test has written to a file for this process; empty in production."""
         if self.config.knobs is None:
             return []
         try:
-            return [float(word) for word in (self.config.knobs / name).read_text().split()]
+            return [float(number) for number in (self.config.knobs / name).read_text().split()]
         except (OSError, ValueError):
             return []
 
     def start(self, hello: Callable[[], msgspec.Struct]) -> None:
-        """Introduces this node to its neighbours, and starts the timer."""
+        """Sends ``Hello`` to this node's neighbours, and starts the timer."""
         for name in self.member.config.neighbours():
             self.links.send(name, hello())
         self._tick()
@@ -102,11 +102,11 @@
 
     @staticmethod
     def is_supported_by(capabilities: tuple[str, ...]) -> bool:
-        """Whether a node with these capabilities understands replication messages; others are sent none."""
+        """Returns whether a node with these capabilities understands replication; others are sent nothing."""
         return CAPABILITY in capabilities
 
     def receive(self, sender: str, message: msgspec.Struct) -> bool:
-        """Handles a message if it is about replicated state, and returns whether it was."""
+        """Handles a replication message. Returns False for any other message."""
         if not isinstance(message, messages.ReplicationMessage):
             return False
         self._run_guarded(
@@ -115,7 +115,7 @@
         return True
 
     def write(self, kind: str, key: str, value: RowValue | None) -> None:
-        """Writes this node's value under a key; None deletes it. Writes of one loop iteration go together."""
+        """Writes this node's value under a key; None deletes it. Writes of one loop iteration are batched."""
         self.member.now_ns = self.now_ns()
         self.member.write(kind, key, value)
         if self.scheduled_tick is None:
@@ -130,17 +130,17 @@
             call()
         except Exception:  # noqa: BLE001 (a defect must not end the link: one message is lost, as any may be)
             self.count("cluster_exceptions")
-            log.exception("replication")
+            log.exception("replication message failed")
         self._tick()
 
     def _tick(self) -> None:
-        """Lets the member do what is due, passes on its output, and sets the timer to its next deadline."""
+        """Runs the member's due work, passes on its output, and sets the timer to its next deadline."""
         member = self.member
         try:
             member.tick(self.now_ns())
         except Exception:  # noqa: BLE001 (a defect must not end the node: the next tick goes on)
             self.count("cluster_exceptions")
-            log.exception("replication")
+            log.exception("replication tick failed")
         output = member.take_output()
         for name, message in output.messages:
             self.links.send(name, message)
@@ -148,7 +148,7 @@
             self.writer.enqueue(output.changes)
         self._set_timer()
         if output.changed_keys:
-            self.on_changed(output.changed_keys)
+            self.on_rows_changed(output.changed_keys)
 
     def _set_timer(self) -> None:
         if self.timer is not None:
@@ -157,16 +157,16 @@
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(max(MIN_TICK_INTERVAL_S, delay_s), self._tick)
 
-    def _store_set_aside(self, problem: str) -> None:
+    def _on_store_unreadable(self, problem: str) -> None:
         self.count("replica_set_aside")
-        log.info("replica store unreadable, set aside; state is requested from peers", reason=problem)
+        log.info("replica store unreadable, renamed; state is requested from peers", reason=problem)
 
     # --- operators ----------------------------------------------------------------------------------
 
-    def answer(self, about: str) -> Any:
-        """The status of this node, or the rows of a kind or an origin; ready for JSON."""
-        if about:
-            return replication_status.matching_rows(self.member.replicas, about)
+    def answer(self, subject: str) -> Any:
+        """Returns the status of this node, or the rows of a kind or an origin, as values for JSON."""
+        if subject:
+            return replication_status.matching_rows(self.member.replicas, subject)
         return replication_status.node_status(self.member, self.now_ns())
 
 
--- a/puffinpost/cluster/replication_status.py
+++ b/puffinpost/cluster/replication_status.py
@@ -1,9 +1,10 @@
-"""What operators are shown of replicated state: the status of a node, and rows of an origin or of a kind.
+"""The status of replicated state for operators: the status of a node, and rows of an origin or of a kind.
 
 The keys of these answers are part of the operators' interface and keep their names, which differ from the
 code's: ``life`` is an incarnation, ``settled`` whether it has taken over, ``mute`` whether it is read-only,
-``seq`` a sequence number, ``floor`` the tombstone floor, ``holes`` damaged rows, ``places`` keys by kind,
-``lacks`` origins of which a neighbour has more rows, ``taken_back`` a tombstone.
+``seq`` a sequence number, ``floor`` the tombstone floor, ``holes`` damaged rows, ``copies`` replicas,
+``places`` the number of keys by kind, ``contested`` that of keys with conflicting rows, ``lacks`` origins of
+which a neighbour has more rows, ``taken_back`` a tombstone.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class ReplicaStatus(TypedDict):
-    """One replica."""
+    """The status of one replica."""
 
     node: str
     life: int
@@ -38,14 +39,14 @@
 
 
 class NeighbourStatus(TypedDict):
-    """What is known of a neighbour; ``heard_ms`` is the time since its last message."""
+    """The status of a neighbour; ``heard_ms`` is the time since its last message."""
 
     heard_ms: int | None
     lacks: int
 
 
 class NodeStatus(TypedDict):
-    """A node's replicas and neighbours. ``places`` and ``contested`` count keys by kind."""
+    """The status of a node, its replicas and its neighbours."""
 
     node: str
     life: int
@@ -73,7 +74,7 @@
 
 
 def node_status(member: Member, now_ns: int) -> NodeStatus:
-    """The status of a node, in plain values."""
+    """Returns the status of a node, as values for JSON."""
     replicas = member.replicas
     return {
         "node": member.config.name,
@@ -112,21 +113,21 @@
 
 
 def _neighbour_status(replicas: ReplicaSet, peer: Peer, now_ns: int) -> NeighbourStatus:
-    lacking = [catch_up.missing_rows(replicas, position) for position in peer.positions.values()]
+    missing_by_position = [catch_up.missing_rows(replicas, position) for position in peer.positions.values()]
     return {
         "heard_ms": (now_ns - peer.last_message_at) // NS_PER_MS if peer.last_message_at > 0 else None,
-        "lacks": sum(missing is not None for missing in lacking),
+        "lacks": sum(missing is not None for missing in missing_by_position),
     }
 
 
-def matching_rows(replicas: ReplicaSet, about: str) -> list[RowStatus]:
-    """The rows of one origin (``node/incarnation``) or of one kind, up to `MAX_ROWS`."""
-    found: list[RowStatus] = []
+def matching_rows(replicas: ReplicaSet, subject: str) -> list[RowStatus]:
+    """Returns the rows of one origin (``node/incarnation``) or of one kind, up to `MAX_ROWS`."""
+    matches: list[RowStatus] = []
     for origin, replica in sorted(replicas.by_origin.items()):
         for row in replica.rows_by_sequence.values():
-            if about in (f"{origin.node}/{origin.incarnation}", row.kind) and len(found) < MAX_ROWS:
-                found.append(_row_status(origin, row))
-    return found
+            if subject in (f"{origin.node}/{origin.incarnation}", row.kind) and len(matches) < MAX_ROWS:
+                matches.append(_row_status(origin, row))
+    return matches
 
 
 def _row_status(origin: Origin, row: Row) -> RowStatus:
--- a/puffinpost/cluster/replication_store.py
+++ b/puffinpost/cluster/replication_store.py
@@ -1,6 +1,6 @@
-"""The SQLite file in which a node stores its replicas, beside that of consensus in the same folder.
+"""Stores a node's replicas in a SQLite file, in the same folder as the consensus store.
 
-All of it exists at other nodes too, so an unreadable file is set aside and the node starts empty, and a
+Other nodes have all of its content too, so an unreadable file is renamed and the node starts empty, and a
 damaged row is requested from peers. The caller writes from one thread; each write is one transaction.
 """
 
@@ -22,7 +22,7 @@
 FORMAT_VERSION = 1
 FILE_NAME = "replica.sqlite"
 FILE_NAMES = (FILE_NAME, "replica.sqlite-wal", "replica.sqlite-shm")
-SET_ASIDE_PREFIX = "damaged-"
+UNREADABLE_PREFIX = "damaged-"
 TABLES = """
 CREATE TABLE IF NOT EXISTS form (form INTEGER PRIMARY KEY);
 CREATE TABLE IF NOT EXISTS marks (node TEXT, life INTEGER, seq INTEGER, floor INTEGER, check_ INTEGER,
@@ -33,26 +33,26 @@
 
 
 class UnreadableStoreError(PuffinpostError):
-    """The file is damaged, or of another format version."""
+    """The file is damaged or has another format version."""
 
 
 class ReplicaStore:
-    """A node's file. ``on_set_aside`` is called with the reason where an existing file is unreadable."""
+    """A node's file. ``on_unreadable`` is called with the reason if an existing file cannot be read."""
 
-    def __init__(self, folder: Path, on_set_aside: Callable[[str], None]) -> None:
+    def __init__(self, folder: Path, on_unreadable: Callable[[str], None]) -> None:
         self.path = folder / FILE_NAME
         try:
             self._database = self._open()
         except (sqlite3.Error, ValueError, UnreadableStoreError) as problem:  # ValueError: text not in UTF-8
-            on_set_aside(str(problem))
-            self._set_aside()
+            on_unreadable(str(problem))
+            self._rename_files()
             self._database = self._open()
 
-    def _set_aside(self) -> None:
+    def _rename_files(self) -> None:
         for name in FILE_NAMES:
             path = self.path.with_name(name)
             if path.exists():
-                path.replace(path.with_name(SET_ASIDE_PREFIX + name))
+                path.replace(path.with_name(UNREADABLE_PREFIX + name))
 
     def _open(self) -> sqlite3.Connection:
         database = sqlite3.connect(self.path, check_same_thread=False, isolation_level=None)
@@ -64,10 +64,10 @@
         return database
 
     def read(self) -> tuple[list[ReplicaPosition], list[tuple[Origin, Row]]]:
-        """All positions and rows.
+        """Returns all positions and rows.
 
-        A damaged row comes as an empty one with its sequence number and a wrong checksum; an origin whose
-        position is damaged is left out, with all its rows.
+        A damaged row is replaced by an empty row with its sequence number and a wrong checksum. An origin
+        whose position is damaged is omitted, with all its rows.
         """
         positions = [
             ReplicaPosition(Origin(node, incarnation), sequence, floor)
@@ -84,7 +84,7 @@
         return positions, rows
 
     def write(self, changes: PendingChanges, positions: dict[Origin, ReplicaPosition]) -> None:
-        """Stores changes and the positions that fit them, in one transaction. Raises ``sqlite3.Error``."""
+        """Stores changes and the positions that match them in one transaction. Raises ``sqlite3.Error``."""
         with self._database:
             self._database.execute("BEGIN IMMEDIATE")
             self._delete(changes)
@@ -120,11 +120,12 @@
 def _prepare(database: sqlite3.Connection) -> None:
     """Checks the file and creates its tables. Raises ``sqlite3.Error`` or ``UnreadableStoreError``."""
     database.execute("PRAGMA journal_mode = WAL")
-    # A commit lost in a power cut is requested from peers: an incarnation never writes again after its end.
+    # A commit lost in a power failure is requested from peers, which is safe, because an incarnation never
+    # writes again after its process has ended.
     database.execute("PRAGMA synchronous = NORMAL")
-    found = database.execute("PRAGMA quick_check").fetchone()[0]
-    if found != "ok":
-        raise UnreadableStoreError(found)
+    result = database.execute("PRAGMA quick_check").fetchone()[0]
+    if result != "ok":
+        raise UnreadableStoreError(result)
     database.executescript(TABLES)
     database.execute(
         "INSERT OR IGNORE INTO form SELECT ? WHERE NOT EXISTS (SELECT * FROM form)", (FORMAT_VERSION,)
@@ -135,7 +136,10 @@
 
 
 def _decode_row(encoded: bytes, sequence: int) -> Row:
-    """The stored row; an empty one, whose checksum is wrong, where it is damaged or of another number."""
+    """Decodes a stored row.
+
+    A row that is damaged or has another sequence number is replaced by an empty one with a wrong checksum.
+    """
     try:
         row = msgspec.msgpack.decode(encoded, type=Row)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -146,7 +150,7 @@
 
 
 def _position_record(position: ReplicaPosition) -> tuple[str, int, int, int, int]:
-    """The values of the position's row in the table of positions."""
+    """Returns the values of a position's row in the table of positions."""
     origin = position.origin
     fields = origin.node, origin.incarnation, position.sequence, position.tombstone_floor
     return *fields, _position_checksum(*fields)
--- a/puffinpost/cluster/replication_writer.py
+++ b/puffinpost/cluster/replication_writer.py
@@ -1,7 +1,7 @@
 """Writes changes of replicated state to disk, in batches and off the event loop.
 
-`ReplicationDriver` hands in changes as they accumulate; writes that fail are retried until they succeed or
-the node ends. It does not read the store.
+`ReplicationDriver` submits changes as they accumulate; a failed write is retried until it succeeds or the
+node ends. This module does not read the store.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 BATCH_DELAY_S = 0.05  # changes within this time are written in one transaction
 RETRY_DELAY_S = 0.5  # after a write that failed
-STOP_TIMEOUT_S = 1.0  # for the write that is under way when the node ends
+STOP_TIMEOUT_S = 1.0  # for a write in progress when the node ends
 
 
 class ReplicaWriter:
-    """Owns the store, a thread that writes to it, and the task that hands batches to the thread.
+    """Owns the store, a thread that writes to it, and the task that passes batches to the thread.
 
-    ``stored_positions`` returns the replicas' positions as they are to be stored with a batch.
+    ``stored_positions`` returns the replicas' positions that are to be stored with a batch.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
             self.task = asyncio.ensure_future(self._write_batches())
 
     async def close(self) -> None:
-        """Closes the store. The current write gets a limited time, because a full disk may block it."""
+        """Closes the store, after a limited wait for the current write, because a full disk may block it."""
         task = self.task  # the attribute may change during the wait
         if task is not None:
             await asyncio.wait({task}, timeout=STOP_TIMEOUT_S)
@@ -63,7 +63,7 @@
         self.task = None
 
     async def _write_batch(self) -> None:
-        """Writes what is pending. Changes that come between retries join it, so that positions fit rows."""
+        """Writes the pending changes and those that arrive between retries, so that positions match rows."""
         loop = asyncio.get_running_loop()
         batch = PendingChanges()
         while True:
--- a/puffinpost/cluster/status.py
+++ b/puffinpost/cluster/status.py
@@ -1,6 +1,6 @@
-"""The status of consensus at one node, as operators get it in JSON.
+"""The status of consensus at one node, as operators receive it in JSON.
 
-`operator_service` encodes it. The names given by ``name=`` are the keys of the JSON.
+`operator_service` encodes it. The names given by ``name=`` are the keys in the JSON.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from puffinpost.consensus.messages import Rejection, Summary
 from puffinpost.consensus.raft_state import Role
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class DocumentStatus(msgspec.Struct):
-    """The version of a document that this node acts on. ``version`` 0 or empty fields: none."""
+    """The version of a document that this node acts on. 0 or an empty field: none."""
 
     version: int
     hash: str
@@ -30,8 +30,8 @@
     proposed_at_s: int = msgspec.field(name="at_s")
 
 
-class KnownNode(msgspec.Struct):
-    """A node that has reported, directly or through others, and the age of that report."""
+class NodeReportStatus(msgspec.Struct):
+    """A node that has reported, directly or through other nodes, and the age of its report."""
 
     node: str
     description: str = msgspec.field(name="has")
@@ -44,11 +44,11 @@
     nodes: int
     version_counts: dict[str, int] = msgspec.field(name="versions")
     rejections: list[Rejection] = msgspec.field(name="refused")
-    node_reports: list[KnownNode] = msgspec.field(name="known")
+    node_reports: list[NodeReportStatus] = msgspec.field(name="known")
 
 
 class NodeStatus(msgspec.Struct):
-    """One node's part in consensus. The lease is in ms."""
+    """The state of one node in consensus. ``lease_ms`` is what remains of its lease."""
 
     node: str
     cluster: str
@@ -69,7 +69,7 @@
 
 
 def node_status(member: Member, now: int, connected_links: int) -> NodeStatus:
-    """The status of a member at ``now``, in ns of its clock."""
+    """Returns the status of a member at ``now``, in ns of its clock."""
     raft, active_versions = member.raft, member.active_versions
     fleet = _fleet_status(member.summary(now))
     is_voter = raft is not None and raft.is_voter()
@@ -85,7 +85,7 @@
         identity=member.identity,
         identity_mismatches=member.identity_mismatches,
         connected_links=connected_links,
-        lease_ms=active_versions.lease.remaining_ns(now) // MS,
+        lease_ms=active_versions.lease.remaining_ns(now) // NS_PER_MS,
         is_current=active_versions.is_current(now),
         problems=active_versions.problems,
         documents={
@@ -110,11 +110,11 @@
 
 
 def _fleet_status(summary: Summary) -> FleetStatus:
-    reports = [KnownNode(*report) for report in summary.node_reports]
+    reports = [NodeReportStatus(*report) for report in summary.node_reports]
     return FleetStatus(summary.nodes, summary.version_counts, summary.rejections, reports)
 
 
 def document_history(member: Member, name: str) -> dict[str, Any]:
-    """A document with its previous versions, by the keys of `Document`; empty where it is unknown."""
+    """Returns a document and its previous versions by the keys of `Document`; empty if it is unknown."""
     document = member.active_versions.documents.get(name)
     return {} if document is None else dict(msgspec.to_builtins(document))
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -1,4 +1,4 @@
-"""What a node has on disk of agreement: complete after a kill, refused where it is damaged or in use."""
+"""The consensus store: complete after the process is killed, rejected if it is damaged or in use."""
 
 from __future__ import annotations
 
@@ -16,47 +16,47 @@
 from puffinpost.consensus.log import HardState, Snapshot
 from puffinpost.consensus.messages import Entry, Noop, Propose
 
-ENTRIES = tuple(Entry(1, Propose(f"p{at}", "settings", {"n": at})) for at in range(5))
+ENTRIES = tuple(Entry(1, Propose(f"p{number}", "settings", {"n": number})) for number in range(5))
 WRITER_SCRIPT = """
 import os, sys
 from pathlib import Path
 from puffinpost.consensus.log import HardState
 from puffinpost.consensus.messages import Entry, Noop
 from puffinpost.cluster.consensus_store import ConsensusStore, Transaction
-store, at = ConsensusStore(Path(sys.argv[1])), 0
+store, index = ConsensusStore(Path(sys.argv[1])), 0
 while True:
-    at += 1
-    store.write(Transaction(HardState(at, f"n{at}"), None, at, (Entry(at, Noop()),)))
-    os.write(1, b"%d\\n" % at)  # reported only after it is written
+    index += 1
+    store.write(Transaction(HardState(index, f"n{index}"), None, index, (Entry(index, Noop()),)))
+    os.write(1, b"%d\\n" % index)  # reported only after it is written
 """
 
 
-def test_written_state_is_read_again_and_entries_are_replaced(tmp_path: Path) -> None:
+def test_reopened_store_returns_the_written_state_with_replaced_entries(tmp_path: Path) -> None:
     store = ConsensusStore(tmp_path)
-    identity, view = store.identity, Document("bans", 3)
+    identity, document = store.identity, Document("bans", 3)
     store.write(Transaction(HardState(1, "n0"), None, 1, ENTRIES))
-    store.write(Transaction(HardState(2, ""), None, 3, (Entry(2, Noop()),), (view,)))
+    store.write(Transaction(HardState(2, ""), None, 3, (Entry(2, Noop()),), (document,)))
     store.close()
-    again = ConsensusStore(tmp_path)
-    state, views = again.read()
-    assert (state.term, state.voted_for, views, again.identity) == (2, "", [view], identity)
+    reopened = ConsensusStore(tmp_path)
+    state, documents = reopened.read()
+    assert (state.term, state.voted_for, documents, reopened.identity) == (2, "", [document], identity)
     assert state.log.entries == [*ENTRIES[:2], Entry(2, Noop())]
-    again.write(Transaction(snapshot=Snapshot(2, 1, {"n0": "x"}, b"state")))
-    again.close()
+    reopened.write(Transaction(snapshot=Snapshot(2, 1, {"n0": "x"}, b"state")))
+    reopened.close()
     state, _ = ConsensusStore(tmp_path).read()
     assert state.log.snapshot == Snapshot(2, 1, {"n0": "x"}, b"state") and state.log.last_index == 3
 
 
-def test_a_folder_is_locked_and_a_new_one_has_a_new_identity(tmp_path: Path) -> None:
+def test_folder_in_use_is_rejected_and_each_new_folder_gets_its_own_identity(tmp_path: Path) -> None:
     first = ConsensusStore(tmp_path / "a")
-    with pytest.raises(StoreError, match="another process has it"):
+    with pytest.raises(StoreError, match="in use by another process"):
         ConsensusStore(tmp_path / "a")
     assert ConsensusStore(tmp_path / "b").identity != first.identity
     assert (tmp_path / "a" / "operator-token").stat().st_mode & 0o077 == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_writes_that_a_killed_process_reported_are_on_disk(tmp_path: Path, seed: int) -> None:
+def test_writes_reported_before_the_process_is_killed_are_on_disk(tmp_path: Path, seed: int) -> None:
     writer = subprocess.Popen(
         [sys.executable, "-c", WRITER_SCRIPT, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE
     )
@@ -73,7 +73,7 @@
     )
 
 
-def test_a_truncated_file_is_complete_or_rejected_and_so_is_one_without_an_entry(tmp_path: Path) -> None:
+def test_truncated_file_is_complete_or_rejected_and_a_missing_entry_is_rejected(tmp_path: Path) -> None:
     store = ConsensusStore(tmp_path / "a")
     store.write(Transaction(HardState(1, "n0"), None, 1, ENTRIES))
     store._database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -84,25 +84,25 @@
         shutil.copytree(tmp_path / "a", folder)
         os.truncate(folder / "agreement.sqlite", size)
         try:
-            cut = ConsensusStore(folder)
-            state, _ = cut.read()
+            truncated = ConsensusStore(folder)
+            state, _ = truncated.read()
         except StoreError:
             continue
-        is_complete = (state.term, state.voted_for, state.log.entries, cut.identity) == (
+        is_complete = (state.term, state.voted_for, state.log.entries, truncated.identity) == (
             1,
             "n0",
             [*ENTRIES],
             store.identity,
         )
-        fresh = (state.term, state.log.last_index) == (0, 0) and cut.identity != store.identity
-        assert is_complete or (fresh and size == 0), size
-    gap = ConsensusStore(tmp_path / "a")
-    gap._database.execute("DELETE FROM entries WHERE number = 2")
+        is_new = (state.term, state.log.last_index) == (0, 0) and truncated.identity != store.identity
+        assert is_complete or (is_new and size == 0), size
+    store_with_gap = ConsensusStore(tmp_path / "a")
+    store_with_gap._database.execute("DELETE FROM entries WHERE number = 2")
     with pytest.raises(StoreError, match="missing"):
-        gap.read()
+        store_with_gap.read()
 
 
-def _written(folder: Path) -> ConsensusStore:
+def _filled_store(folder: Path) -> ConsensusStore:
     store = ConsensusStore(folder)
     store.write(
         Transaction(HardState(1, "n0"), Snapshot(0, 0, {"n0": "x"}), 1, ENTRIES, (Document("bans", 3),))
@@ -114,26 +114,28 @@
     ("table", "key", "value"),
     [("one", "name", "value"), ("entries", "number", "entry"), ("views", "doc", "document")],
 )
-def test_a_flipped_bit_in_any_value_is_rejected(tmp_path: Path, table: str, key: str, value: str) -> None:
-    store = _written(tmp_path / "a")
+def test_flipped_bit_in_any_value_is_rejected(tmp_path: Path, table: str, key: str, value: str) -> None:
+    store = _filled_store(tmp_path / "a")
     rows = store._database.execute(f"SELECT {key}, {value} FROM {table} WHERE {key} != 'form'").fetchall()
-    for where, state in rows:
-        for at in range(len(state)):
-            spoilt = bytearray(state)
-            spoilt[at] ^= 1 << at % 8
-            store._database.execute(f"UPDATE {table} SET {value} = ? WHERE {key} = ?", (bytes(spoilt), where))
-            with pytest.raises(StoreError, match=f"{table} {where} is damaged"):
+    for row_key, stored in rows:
+        for position in range(len(stored)):
+            damaged = bytearray(stored)
+            damaged[position] ^= 1 << position % 8
+            store._database.execute(
+                f"UPDATE {table} SET {value} = ? WHERE {key} = ?", (bytes(damaged), row_key)
+            )
+            with pytest.raises(StoreError, match=f"{table} {row_key} is damaged"):
                 store._get("identity")
                 store.read()
-        store._database.execute(f"UPDATE {table} SET {value} = ? WHERE {key} = ?", (state, where))
+        store._database.execute(f"UPDATE {table} SET {value} = ? WHERE {key} = ?", (stored, row_key))
     assert rows and store.read()[0].log.entries == [*ENTRIES]
     store._database.execute("UPDATE entries SET entry = (SELECT entry FROM entries WHERE number = 2)")
-    with pytest.raises(StoreError, match="entries 1 is damaged"):  # sound, but of another place
+    with pytest.raises(StoreError, match="entries 1 is damaged"):  # intact, but at another location
         store.read()
 
 
-def test_a_file_without_checksums_is_upgraded_and_a_newer_one_is_rejected(tmp_path: Path) -> None:
-    store = _written(tmp_path / "a")
+def test_file_without_checksums_is_upgraded_and_a_newer_format_is_rejected(tmp_path: Path) -> None:
+    store = _filled_store(tmp_path / "a")
     for table, value in (("one", "value"), ("entries", "entry"), ("views", "document")):
         store._database.execute(
             f"UPDATE {table} SET {value} = substr({value}, {CHECKSUM_SIZE + 1})"
@@ -141,10 +143,10 @@
         )
     store._database.execute("UPDATE one SET value = CAST('1' AS BLOB) WHERE name = 'form'")
     store.close()
-    again = ConsensusStore(tmp_path / "a")
-    assert again.identity == store.identity and again.read()[0].log.entries == [*ENTRIES]
-    assert again.read()[1] == [Document("bans", 3)]
-    again._database.execute("UPDATE one SET value = CAST('3' AS BLOB) WHERE name = 'form'")
-    again.close()
-    with pytest.raises(StoreError, match="form 3"):
+    upgraded = ConsensusStore(tmp_path / "a")
+    assert upgraded.identity == store.identity and upgraded.read()[0].log.entries == [*ENTRIES]
+    assert upgraded.read()[1] == [Document("bans", 3)]
+    upgraded._database.execute("UPDATE one SET value = CAST('3' AS BLOB) WHERE name = 'form'")
+    upgraded.close()
+    with pytest.raises(StoreError, match="unsupported file format 3"):
         ConsensusStore(tmp_path / "a")
