--- a/puffinpost/cluster/frames.py
+++ b/puffinpost/cluster/frames.py
@@ -74,7 +74,9 @@
             return None
         length, checksum = HEADER.unpack_from(self._buffer, position)
         if length > MAX_MESSAGE_SIZE:
-            raise FrameError(FrameFault.OVERSIZED, f"frame of {length} bytes is too long")
+            raise FrameError(
+                FrameFault.OVERSIZED, f"frame of {length} bytes, expected at most {MAX_MESSAGE_SIZE}"
+            )
         if len(self._buffer) < start + length:
             return None
         body = bytes(self._buffer[start : start + length])
--- a/puffinpost/cluster/replication_driver.py
+++ b/puffinpost/cluster/replication_driver.py
@@ -1,4 +1,4 @@
-"""Drives `replication.member.Member`: passes it the time and messages, sends and stores its output.
+"""Drives `replication.member.Member`: passes it the time and messages, and sends and stores its output.
 
 `ConsensusDriver` owns the driver and shares its links with it; the rest of the node writes values through it.
 """
--- a/tests/test_consensus_store.py
+++ b/tests/test_consensus_store.py
@@ -47,7 +47,7 @@
     assert state.log.snapshot == Snapshot(2, 1, {"n0": "x"}, b"state") and state.log.last_index == 3
 
 
-def test_folder_in_use_is_rejected_and_each_new_folder_gets_its_own_identity(tmp_path: Path) -> None:
+def test_folder_in_use_is_rejected_and_each_new_folder_gets_a_new_identity(tmp_path: Path) -> None:
     first = ConsensusStore(tmp_path / "a")
     with pytest.raises(StoreError, match="in use by another process"):
         ConsensusStore(tmp_path / "a")
