--- a/puffinpost/runtime/history.py
+++ b/puffinpost/runtime/history.py
@@ -29,4 +29,4 @@
         try:
             self._file.write(orjson.dumps(event) + b"\n")
         except OSError as problem:  # a full disk must not fail the request in progress
-            log.info("cluster: history not written", often=True, reason=problem)
+            log.info("cluster: history not written", high_volume=True, reason=problem)
