--- a/puffinpost/resumption/__init__.py
+++ b/puffinpost/resumption/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions that outlive their connections, and the messages that wait in them to be acknowledged.
+"""Sessions that outlive their connections, and their unacknowledged messages.
 
-Nothing here does I/O or knows a wire format: the frontends translate their protocols.
+This package does no I/O and knows no wire format: the frontends translate their protocols.
 """
--- a/puffinpost/resumption/errors.py
+++ b/puffinpost/resumption/errors.py
@@ -1,4 +1,4 @@
-"""The errors that resumable sessions raise on purpose. Frontends translate them to their protocols."""
+"""Errors that resumable sessions raise. Frontends translate them to their protocols."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a resumption was refused: for the counters, never for the client."""
+    """Why a resumption was refused. Used for counters and never sent to the client."""
 
     UNKNOWN = "unknown"
     OTHER_USER = "foreign"
@@ -17,18 +17,18 @@
 
 
 class AckError(PuffinpostError):
-    """An acknowledgement of what was never sent, or one that runs backwards."""
+    """An acknowledgement of messages that were never sent, or one that is lower than an earlier one."""
 
 
 class RegistryFullError(PuffinpostError):
-    """There is no capacity for another session."""
+    """The registry has no capacity for another session."""
 
 
 class ResumeError(PuffinpostError):
     """A resumption is refused.
 
-    ``handled_count`` is known only where the client's own session has ended: how many of the client's
-    messages were handled in it.
+    ``handled_count`` is how many of the client's messages were handled in the session. It is set only if the
+    session belonged to this client and has ended.
     """
 
     def __init__(self, reason: RefusalReason, handled_count: int | None = None) -> None:
--- a/puffinpost/resumption/outbox.py
+++ b/puffinpost/resumption/outbox.py
@@ -1,7 +1,8 @@
-"""Messages for one client, in order, kept until it has acknowledged them and resent on a new connection.
+"""Keeps messages for one client, in order, until they are acknowledged, and resends them on a new connection.
 
-The session owns it and tells it of acknowledgements, either of all messages up to a count (``acknowledge``)
-or of one (``release``), and of new connections (``rewind``). It never writes to a connection.
+The session owns the outbox. It reports acknowledgements, either of all messages up to a count
+(``acknowledge``) or of one message (``release``), and new connections (``rewind``). The outbox never writes
+to a connection.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from puffinpost.resumption.sequence import advance, distance
 from puffinpost.resumption.snapshot import OutboxSnapshot
 
-# A resumed connection gets so many messages before the first acknowledgement, and two more for each that
-# arrives. This bounds what is resent on a connection that is lost again and again.
+# How many messages are sent on a resumed connection before the first acknowledgement; each acknowledgement
+# lets two more be sent. This bounds what is resent to a client that loses its connection repeatedly.
 FIRST_WINDOW = 16
 
 
@@ -22,17 +23,17 @@
     """The unacknowledged messages of one session."""
 
     def __init__(self, first: int = 0) -> None:
-        self.acknowledged = first  # the number of the last message before which all are acknowledged
+        self.acknowledged = first  # number of the last message up to which all are acknowledged
         self.octets = 0
-        self.restored_sent_count = 0  # how many an earlier process had written on the present connection
+        self.restored_sent_count = 0  # messages that the predecessor wrote on the current connection
         self._last_number = first
-        self._sent: dict[int, OutboxEntry] = {}  # on the present connection, in order
+        self._sent: dict[int, OutboxEntry] = {}  # on the current connection, in order
         self._waiting: deque[OutboxEntry] = deque()
-        self._window: int | None = None  # None: no limit, as the connection has acknowledged what was resent
-        self._replay_count = 0  # how many of the waiting ones were sent before
+        self._window: int | None = None  # None: no limit, because all resent messages are acknowledged
+        self._replay_count = 0  # how many of the waiting messages were sent before
 
     def __len__(self) -> int:
-        """How many messages are kept."""
+        """The number of unacknowledged messages."""
         return len(self._sent) + len(self._waiting)
 
     def entries(self) -> list[OutboxEntry]:
@@ -41,12 +42,12 @@
 
     @property
     def replaying(self) -> bool:
-        """Whether a message that an earlier connection was given waits to be resent."""
+        """Whether a message that was sent on an earlier connection is still waiting to be resent."""
         return self._replay_count > 0
 
     @property
     def is_window_full(self) -> bool:
-        """Whether only the window keeps messages back: time to request an acknowledgement."""
+        """Whether the window holds messages back, so that an acknowledgement should be requested."""
         return bool(self._waiting) and self._window is not None and len(self._sent) >= self._window
 
     def push(self, kind: str, data: bytes) -> OutboxEntry:
@@ -58,9 +59,9 @@
         return entry
 
     def take_due(self, max_unacknowledged: int | None = None) -> list[OutboxEntry]:
-        """The messages to be written now, in order; they count as sent from then on.
+        """Marks the messages that may be written now as sent, and returns them in order.
 
-        ``max_unacknowledged`` is the receive maximum of MQTT 5.0 (4.9), where there is one.
+        ``max_unacknowledged`` is the receive maximum of MQTT 5.0 (4.9); None: there is no such limit.
         """
         waiting, sent, window = self._waiting, self._sent, self._window
         if not waiting:
@@ -81,11 +82,11 @@
         return entries
 
     def acknowledge(self, count: int) -> list[OutboxEntry]:
-        """Releases all messages up to a count. Raises ``AckError``, and then changes nothing."""
+        """Releases all messages up to a count. If it is invalid, raises ``AckError`` and changes nothing."""
         newly_acknowledged = distance(count, self.acknowledged)
         if not newly_acknowledged:
             return []
-        # What an earlier connection was given may be acknowledged too, resent or not.
+        # Messages that were sent on an earlier connection may be acknowledged even before they are resent.
         resendable = (
             [entry.number for entry in self._waiting if entry.sends]
             if newly_acknowledged > len(self._sent)
@@ -100,7 +101,7 @@
         return [entry for number in numbers if (entry := self.release(number)) is not None]
 
     def release(self, number: int) -> OutboxEntry | None:
-        """Releases one message. None where it is not out: its acknowledgement was repeated."""
+        """Releases one sent message; returns None if it is no longer there (a repeated acknowledgement)."""
         entry = self._sent.pop(number, None)
         if entry is None and self._waiting and self._waiting[0].number == number and self._waiting[0].sends:
             entry = self._waiting.popleft()
@@ -110,7 +111,7 @@
         self.octets -= entry.size
         self.acknowledged = advance(self._first_unacknowledged(), -1)
         if self._window is not None:
-            # Each acknowledgement releases one sent message, so a window larger by one lets two be sent.
+            # Each acknowledgement removes one sent message, so growing the window by one lets two be sent.
             self._window = self._window + 1 if self.replaying else None
         return entry
 
@@ -121,14 +122,14 @@
         return self._waiting[0].number if self._waiting else advance(self._last_number)
 
     def rewind(self) -> None:
-        """A new connection: what is not acknowledged is due again, before what was never sent."""
+        """Prepares for a new connection: unacknowledged messages are sent again, before new ones."""
         self._waiting.extendleft(reversed(list(self._sent.values())))
         self._sent.clear()
         self._replay_count = sum(entry.sends > 0 for entry in self._waiting)
         self._window = FIRST_WINDOW if self._waiting else None
 
     def clear(self) -> int:
-        """Drops all messages; returns how many."""
+        """Drops all messages and returns their number."""
         dropped = len(self)
         self._sent.clear()
         self._waiting.clear()
@@ -139,11 +140,11 @@
     # Hot restart.
 
     def snapshot(self) -> OutboxSnapshot:
-        """All that another process of this node needs."""
+        """The state that another process of this node needs to continue."""
         return OutboxSnapshot(self.acknowledged, self._last_number, len(self._sent), tuple(self.entries()))
 
     def restore_sent(self, sent_count: int) -> None:
-        """The connection is continued in this process: the first messages are already written on it."""
+        """Marks the first messages as sent: the connection on which they were written was handed over too."""
         for _ in range(min(sent_count, len(self._waiting))):
             entry = self._waiting.popleft()
             self._sent[entry.number] = entry
@@ -151,7 +152,7 @@
 
     @classmethod
     def restore(cls, snapshot: OutboxSnapshot) -> Outbox:
-        """An outbox from a snapshot, with nothing sent on a connection of this process."""
+        """Builds an outbox from a snapshot, with no message sent on a connection of this process."""
         outbox = cls()
         outbox.acknowledged, outbox._last_number = snapshot.acknowledged, snapshot.last_number
         outbox.restored_sent_count = snapshot.sent_count
--- a/puffinpost/resumption/outbox_entry.py
+++ b/puffinpost/resumption/outbox_entry.py
@@ -1,10 +1,10 @@
-"""One message in an outbox."""
+"""A message in an outbox."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ENTRY_OVERHEAD_BYTES = 150  # that a message costs beside its own; 146 by tracemalloc, on CPython 3.11
+ENTRY_OVERHEAD_BYTES = 150  # memory per message beside its data; tracemalloc shows 146 on CPython 3.11
 
 
 @dataclass(slots=True)
@@ -14,9 +14,9 @@
     number: int
     kind: str
     data: bytes
-    sends: int = 0  # on how many connections it was written
+    sends: int = 0  # on how many connections the message was written
 
     @property
     def size(self) -> int:
-        """What it takes in memory, in bytes."""
+        """The memory that the message takes, in bytes."""
         return len(self.data) + ENTRY_OVERHEAD_BYTES
--- a/puffinpost/resumption/rate_limit.py
+++ b/puffinpost/resumption/rate_limit.py
@@ -1,7 +1,7 @@
-"""Limits failed resumptions per client address: a token bucket for each, in a bounded table.
+"""Limits failed resumptions per client address, with one token bucket per address in a bounded table.
 
-The registry asks it before it looks a token up. The law is that of RFC 2697's committed rate and burst: an
-address may fail a number of times at once, and that allowance is refilled evenly over a minute.
+The registry checks the limit before it looks up a resumption token. As with the committed rate and burst size
+of RFC 2697, an address may fail a number of times at once, and its bucket is refilled evenly over a minute.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 MAX_ADDRESSES = 4096
 
 
-class _Allowance(NamedTuple):
+class _Bucket(NamedTuple):
     tokens: float
     updated_ns: int
 
 
 class ResumptionRateLimit:
-    """The failed attempts of each client address. Times are nanoseconds."""
+    """Failed resumption attempts per client address. Times are in nanoseconds."""
 
     def __init__(self, per_minute: int, max_addresses: int = MAX_ADDRESSES) -> None:
         self.per_minute = per_minute
         self.max_addresses = max_addresses
-        self._allowances: OrderedDict[str, _Allowance] = OrderedDict()  # the one that failed last stands last
+        self._buckets: OrderedDict[str, _Bucket] = OrderedDict()  # the latest failure is last
 
     def is_allowed(self, address: str, now: int) -> bool:
-        """Whether an address may try to resume a session."""
+        """Whether an address may attempt to resume a session."""
         return self._tokens(address, now) >= 1.0
 
     def record_failure(self, address: str, now: int) -> None:
-        """An address has presented an invalid token."""
-        self._allowances[address] = _Allowance(max(0.0, self._tokens(address, now) - 1.0), now)
-        self._allowances.move_to_end(address)
-        if len(self._allowances) > self.max_addresses:
-            # The one that failed longest ago has most of its allowance back, and gains least by this.
-            self._allowances.popitem(last=False)
+        """Records that an address has presented an invalid token."""
+        self._buckets[address] = _Bucket(max(0.0, self._tokens(address, now) - 1.0), now)
+        self._buckets.move_to_end(address)
+        if len(self._buckets) > self.max_addresses:
+            # The address that failed longest ago has regained most of its tokens, so it gains least by this.
+            self._buckets.popitem(last=False)
 
     def _tokens(self, address: str, now: int) -> float:
         burst = float(self.per_minute)
-        tokens, updated_ns = self._allowances.get(address, _Allowance(burst, now))
+        tokens, updated_ns = self._buckets.get(address, _Bucket(burst, now))
         return min(burst, tokens + self.per_minute * max(0, now - updated_ns) / MINUTE_NS)
--- a/puffinpost/resumption/registry.py
+++ b/puffinpost/resumption/registry.py
@@ -1,8 +1,8 @@
-"""The owner of all resumable sessions: their tokens and limits, and which of them end or may be resumed.
+"""Owns all resumable sessions: issues their tokens, enforces their limits, and resumes and ends them.
 
 A session is found by its token, of which only a digest is kept, or by a name that its protocol gives it (an
-MQTT client identifier). Either way only the user who began it may resume it; a refusal reveals nothing but to
-the owner of a session that has ended.
+MQTT client identifier). Either way only the user who began the session may resume it. A refusal reveals
+nothing about a session, except to the owner of one that has ended.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from puffinpost.resumption.snapshot import SessionSnapshot
 
 TOKEN_BYTES = 24  # 192 random bits
-MAX_ENDED_SESSIONS = 4096  # sessions that are remembered after their end
+MAX_ENDED_SESSIONS = 4096  # ended sessions whose tokens are remembered
 MAX_TOKEN_LENGTH = 128
 
 
@@ -34,7 +34,7 @@
 
 
 class SessionRegistry:
-    """All sessions of a node that may outlive their connections. Times are nanoseconds of one clock."""
+    """All resumable sessions of a node. Times are in nanoseconds and come from one clock."""
 
     def __init__(
         self,
@@ -53,16 +53,16 @@
         self._ended: OrderedDict[bytes, _EndedSession] = OrderedDict()
         self._sessions_per_user: dict[str, int] = {}
         self._failed_attempts = ResumptionRateLimit(limits.refusals_per_minute)
-        self._expiry_heap: list[tuple[int, int]] = []  # when to check which session, by its number
-        self._next_expiry_checks: dict[int, int] = {}  # the earliest of these, by number
+        self._expiry_heap: list[tuple[int, int]] = []  # (time of the check, session number)
+        self._next_expiry_checks: dict[int, int] = {}  # the earliest check of each session, by number
         self._detached: OrderedDict[int, ResumableSession] = OrderedDict()  # in the order of detaching
 
-    # Beginning.
+    # New and restored sessions.
 
     def begin(self, user: str, name: str = "", grace_ns: int | None = None) -> ResumableSession:
-        """A new session, attached. Raises ``RegistryFullError``; ``ValueError`` where the name is taken."""
+        """Creates an attached session. Raises ``RegistryFullError``; ``ValueError`` if the name is in use."""
         if name and name in self._by_name:
-            raise ValueError(f"there is a session {name!r}")
+            raise ValueError(f"session name {name!r} is in use")
         if self._sessions_per_user.get(user, 0) >= self.limits.sessions_per_user:
             self._count("edge_full_user")
             raise RegistryFullError
@@ -77,12 +77,12 @@
         return session
 
     def restore(self, snapshot: SessionSnapshot) -> ResumableSession:
-        """A session that another process of this node has handed over. It is attached.
+        """Creates an attached session from one that another process of this node has handed over.
 
-        Raises ``ValueError`` where its name is taken: the client has already begun a new session here.
+        Raises ``ValueError`` if its name is in use: the client has already begun a new session here.
         """
         if snapshot.name and snapshot.name in self._by_name:
-            raise ValueError(f"there is a session {snapshot.name!r}")
+            raise ValueError(f"session name {snapshot.name!r} is in use")
         self._last_number += 1
         grace_ns = min(snapshot.grace_ns, self.limits.grace_ns)
         session = ResumableSession(self._last_number, snapshot.user, snapshot.name, self.limits, grace_ns)
@@ -97,17 +97,17 @@
         return session
 
     def resume_grace_period(self, session: ResumableSession, snapshot: SessionSnapshot, now: int) -> None:
-        """Detaches a restored session that had no connection: the rest of its grace period continues.
+        """Detaches a restored session that had no connection, for the rest of its grace period.
 
-        Raises ``ValueError`` where the snapshot has no end of it.
+        Raises ``ValueError`` if the snapshot has no ``expires_ns``.
         """
         if snapshot.expires_ns is None:
-            raise ValueError("a session without a connection has no expiry")
+            raise ValueError("the snapshot of a detached session has no expires_ns")
         remaining_ns = max(0, snapshot.expires_ns - now)
         self.detach(session, session.generation, now - (session.grace_ns - remaining_ns))
 
     def detach_to_successor(self, session: ResumableSession) -> None:
-        """Forgets a session that another process of this node serves from now on."""
+        """Removes a session that another process of this node serves from now on."""
         self._count("edge_let_go")
         self._on_size_changed(-session.outbox.octets)
         self._by_token_digest.pop(session.token_digest, None)
@@ -122,7 +122,7 @@
             self._by_name[session.name] = session
 
     def issue_token(self, session: ResumableSession) -> str:
-        """A new token for a session, which replaces an earlier one. Only its digest is kept."""
+        """Issues a new token for a session and revokes an earlier one. Only the digest is kept."""
         self._by_token_digest.pop(session.token_digest, None)
         token = self._random(TOKEN_BYTES).hex()
         session.token_digest = _digest(token)
@@ -132,15 +132,15 @@
     # Resumption.
 
     def find_by_name(self, name: str, user: str) -> ResumableSession | None:
-        """The session with a name, where it belongs to this user."""
+        """Returns the session with this name if it belongs to this user."""
         session = self._by_name.get(name)
         return session if session is not None and _equal_in_constant_time(session.user, user) else None
 
     def find_by_token(self, token: str, user: str, address: str, now: int) -> ResumableSession:
-        """The session with a token, for the user who began it. Raises ``ResumeError``.
+        """Returns the session with this token if this user began it. Raises ``ResumeError`` otherwise.
 
-        The look-up uses the token's digest, so its duration reveals nothing about a token that is nearly
-        valid, and the user is compared whether or not there is a session.
+        The lookup uses the token's digest, so its duration does not reveal how much of an invalid token is
+        correct. For the same reason the user is compared whether or not there is a session.
         """
         if not self._failed_attempts.is_allowed(address, now):
             raise self._refusal(RefusalReason.THROTTLED)
@@ -161,10 +161,10 @@
         return ResumeError(reason, handled_count)
 
     def attach(self, session: ResumableSession, acknowledged: int | None = None) -> int:
-        """A connection claims a session, also one that is still attached; returns its generation.
+        """Attaches a connection to a session, even to an attached one; returns the connection's generation.
 
-        ``acknowledged`` is the client's count of received messages. Raises ``AckError``, and then changes
-        nothing.
+        ``acknowledged`` is the client's count of received messages. If it is invalid, raises ``AckError`` and
+        changes nothing.
         """
         if acknowledged is not None:
             try:
@@ -177,7 +177,7 @@
         return session.attach()
 
     def detach(self, session: ResumableSession, generation: int, now: int) -> bool:
-        """A connection is lost. False where the session has another one by now, or has ended."""
+        """Detaches a lost connection. False if the session has another connection by now, or has ended."""
         if not session.detach(generation, now):
             return False
         self._count("edge_detached")
@@ -186,9 +186,9 @@
         return True
 
     def _schedule_expiry(self, session: ResumableSession) -> None:
-        """Adds the session to the heap, unless an earlier check of it is due anyway.
+        """Adds the session to the heap, unless an earlier check of it is already scheduled.
 
-        This bounds the heap where a connection is lost again and again.
+        This bounds the heap when a connection is lost and resumed repeatedly.
         """
         expires_ns = session.expires_ns
         if expires_ns is None:
@@ -198,10 +198,10 @@
             self._next_expiry_checks[session.number] = expires_ns
             heapq.heappush(self._expiry_heap, (expires_ns, session.number))
 
-    # Ending.
+    # The end of sessions.
 
     def end(self, session: ResumableSession, reason: EndReason = EndReason.DONE) -> None:
-        """Ends a session and frees its capacity. Its token is remembered for a while."""
+        """Ends a session and frees its capacity. Its token's digest is kept among the latest ended ones."""
         if session.state is State.ENDED:
             return
         dropped = session.end(reason)
@@ -235,25 +235,25 @@
                 del self._next_expiry_checks[number]
             session = self.sessions.get(number)
             if session is None or session.expires_ns is None:
-                continue  # it has ended or was resumed
+                continue  # the session has ended or was resumed
             if session.expires_ns <= now:
                 self.end(session, EndReason.EXPIRED)
                 expired.append(session)
             else:
-                self._schedule_expiry(session)  # it was resumed and detached again meanwhile
+                self._schedule_expiry(session)  # the session was resumed and detached again since
         return expired
 
     def next_expiry_check_ns(self) -> int | None:
-        """When ``expire`` is to be called next; None where no session is detached."""
+        """When ``expire`` is to be called next; None if no check is scheduled."""
         return self._expiry_heap[0][0] if self._expiry_heap else None
 
     @property
     def detached_count(self) -> int:
-        """How many sessions have no connection."""
+        """The number of sessions without a connection."""
         return len(self._detached)
 
     def _evict_oldest_detached(self) -> bool:
-        """Ends the session that has been detached for longest; False where none is."""
+        """Ends the session that has been detached for longest; False if no session is detached."""
         session = next(iter(self._detached.values()), None)
         if session is None:
             return False
--- a/puffinpost/resumption/sequence.py
+++ b/puffinpost/resumption/sequence.py
@@ -6,14 +6,14 @@
 
 
 def advance(count: int, by: int = 1) -> int:
-    """A count that has grown."""
+    """Returns the count increased by ``by``, modulo 2^32."""
     return (count + by) % MODULUS
 
 
 def distance(count: int, base: int) -> int:
-    """How far a count is ahead of a base, from 0 to 2^32 - 1.
+    """Returns how far a count is ahead of a base, from 0 to 2^32 - 1.
 
-    One that is behind seems far ahead: callers compare with what can be unacknowledged at most, so neither
-    kind of invalid count passes.
+    A count behind the base appears to be far ahead of it. Callers compare the distance with the number of
+    unacknowledged messages, so that counts too low and too high are both found to be invalid.
     """
     return (count - base) % MODULUS
--- a/puffinpost/resumption/session.py
+++ b/puffinpost/resumption/session.py
@@ -1,17 +1,17 @@
-"""One resumable session, with or without a connection.
+"""A resumable session, with or without a connection.
 
 | state | event | next state |
 |---|---|---|
-| ATTACHED | its connection is lost | DETACHED |
-| ATTACHED | another connection claims the session | RESUMING, and the earlier connection is closed |
-| DETACHED | a connection claims it | RESUMING |
-| DETACHED | its grace period is over, or its capacity is needed | ENDED |
+| ATTACHED | the connection is lost | DETACHED |
+| ATTACHED | another connection resumes the session | RESUMING, and the earlier connection is closed |
+| DETACHED | a connection resumes the session | RESUMING |
+| DETACHED | the grace period is over, or the capacity is needed | ENDED |
 | RESUMING | all unacknowledged messages are resent | ATTACHED |
-| RESUMING | its connection is lost | DETACHED |
-| any | the client or the frontend closes it | ENDED |
+| RESUMING | the connection is lost | DETACHED |
+| any | the client or the frontend closes the session | ENDED |
 
-Invariants: a connection that was replaced cannot detach the session (``generation``); a message is written
-once per connection, in order, until it is acknowledged; ENDED is final.
+Invariants: a connection that was replaced cannot detach the session (``generation``); each unacknowledged
+message is written once per connection, in order; ENDED is final.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class State(Enum):
-    """The states of a session; the table above has the transitions."""
+    """The states of a session; the table above lists the transitions."""
 
     ATTACHED = "attached"
     DETACHED = "detached"
@@ -39,10 +39,10 @@
 class EndReason(Enum):
     """Why a session ended."""
 
-    DONE = "done"  # the client or the frontend has closed it
-    EXPIRED = "expired"  # its grace period was over
-    EVICTED = "evicted"  # its capacity was needed
-    REPLACED = "replaced"  # the client has begun a new one in its place
+    DONE = "done"  # the client or the frontend closed it
+    EXPIRED = "expired"  # the grace period was over
+    EVICTED = "evicted"  # the capacity was needed
+    REPLACED = "replaced"  # the client began a new session in its place
 
 
 _TRANSITIONS: dict[State, frozenset[State]] = {
@@ -54,33 +54,33 @@
 
 
 def ignore_size_change(octets: int) -> None:
-    """Stands for the registry where a session belongs to none. ``octets``: by how much the session grew."""
+    """Size callback of a session without a registry. ``octets`` is by how much the session grew."""
 
 
 class SessionOwner(Protocol):
-    """The frontend's session, as the registry and the runtime call it."""
+    """The interface of a frontend's session to the registry and the runtime."""
 
     @property
     def can_hand_over(self) -> bool:
-        """Whether the session can be handed to another process of this node at all."""
+        """Whether the session can ever be handed over to another process of this node."""
 
     def on_session_expired(self) -> None:
-        """The grace period is over: the request under way ends."""
+        """The grace period is over: ends the request under way."""
 
     def on_session_evicted(self) -> None:
-        """The session's capacity is needed: the request under way ends."""
+        """The session's capacity is needed: ends the request under way."""
 
     def on_session_replaced(self) -> None:
-        """The client begins a new session: this one and its request end."""
+        """The client begins a new session: ends this one and its request."""
 
     def release_to_successor(self) -> None:
-        """Another process serves the session: closes the descriptors of this one."""
+        """Another process serves the session: closes the descriptors of this process."""
 
 
 class ResumableSession:
-    """A session of a client with this node. The registry creates it, a frontend speaks for it.
+    """A client's session with this node. The registry creates it, and a frontend drives it.
 
-    ``user`` is the authenticated user; nobody else may resume it. ``owner`` is the frontend's session.
+    ``user`` is the authenticated user; only this user may resume it. ``owner`` is the frontend's session.
     """
 
     __slots__ = (
@@ -103,22 +103,22 @@
     def __init__(self, number: int, user: str, name: str, limits: ResumptionLimits, grace_ns: int) -> None:
         self.number = number
         self.user = user
-        self.name = name  # unique in the registry; empty where the session is found only by its token
+        self.name = name  # unique in the registry; empty if the session is found only by its token
         self.limits = limits
         self.grace_ns = grace_ns
         self.outbox = Outbox()
-        self.handled_count = 0  # messages of the client, see sequence.py
+        self.handled_count = 0  # messages from the client; wraps at 2^32 (sequence.py)
         self.state = State.ATTACHED
-        self.generation = 1  # of its connection
-        self.expires_ns: int | None = None  # while it is detached
-        self.token_digest = b""  # empty where it has no token
+        self.generation = 1  # number of the current connection
+        self.expires_ns: int | None = None  # set while the session is detached
+        self.token_digest = b""  # empty if the session has no token
         self.end_reason: EndReason | None = None
-        self.owner: Any = None  # a SessionOwner, from when a frontend speaks for the session
+        self.owner: Any = None  # a SessionOwner, once a frontend has set it
         self.on_size_changed: Callable[[int], None] = ignore_size_change
 
     @property
     def has_connection(self) -> bool:
-        """Whether there is a connection to write on."""
+        """Whether there is a connection to write to."""
         return self.state in (State.ATTACHED, State.RESUMING)
 
     @property
@@ -129,16 +129,16 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether a session that was full may accept messages again: at half of its limits (hysteresis)."""
+        """Whether a session that was full may accept messages again: at half its limits (hysteresis)."""
         outbox = self.outbox
         return 2 * len(outbox) <= self.limits.messages and 2 * outbox.octets <= self.limits.octets
 
     def count_handled(self, count: int = 1) -> None:
-        """Messages of the client were handled and need not be sent again."""
+        """Records that messages of the client were handled, so that it need not send them again."""
         self.handled_count = advance(self.handled_count, count)
 
     def push(self, kind: str, data: bytes) -> OutboxEntry | None:
-        """Adds a message for the client; None where the session has ended."""
+        """Adds a message for the client; returns None if the session has ended."""
         if self.state is State.ENDED:
             return None
         entry = self.outbox.push(kind, data)
@@ -146,7 +146,7 @@
         return entry
 
     def take_due(self, max_unacknowledged: int | None = None) -> list[OutboxEntry]:
-        """The messages to be written on the connection now; none where there is no connection."""
+        """Marks the messages that may be written now as sent, and returns them; none without a connection."""
         if not self.has_connection:
             return []
         entries = self.outbox.take_due(max_unacknowledged)
@@ -155,21 +155,21 @@
         return entries
 
     def acknowledge(self, count: int) -> list[OutboxEntry]:
-        """The client has all messages up to a count. Raises ``AckError``."""
+        """Releases all messages up to the count that the client acknowledges. Raises ``AckError``."""
         before = self.outbox.octets
         released = self.outbox.acknowledge(count)
         self.on_size_changed(self.outbox.octets - before)
         return released
 
     def release(self, number: int) -> OutboxEntry | None:
-        """The client has one message."""
+        """Releases the message that the client acknowledges."""
         before = self.outbox.octets
         entry = self.outbox.release(number)
         self.on_size_changed(self.outbox.octets - before)
         return entry
 
     def attach(self) -> int:
-        """A connection has claimed the session; returns its generation."""
+        """Attaches a new connection and returns its generation."""
         self._transition(State.RESUMING)
         self.generation += 1
         self.expires_ns = None
@@ -179,7 +179,7 @@
         return self.generation
 
     def detach(self, generation: int, now: int) -> bool:
-        """A connection is lost. False where the session has another one by now, or has ended."""
+        """Detaches a lost connection. False if the session has another connection by now, or has ended."""
         if generation != self.generation or not self.has_connection:
             return False
         self._transition(State.DETACHED)
@@ -187,7 +187,7 @@
         return True
 
     def end(self, reason: EndReason) -> int:
-        """Ends the session; returns how many messages are dropped."""
+        """Ends the session and returns the number of dropped messages."""
         self._transition(State.ENDED)
         self.end_reason, self.expires_ns = reason, None
         before = self.outbox.octets
@@ -198,11 +198,11 @@
     # Hot restart.
 
     def on_connection_adopted(self) -> None:
-        """The session was restored together with its connection."""
+        """Marks messages as sent that the predecessor wrote on the connection that was handed over."""
         self.outbox.restore_sent(self.outbox.restored_sent_count)
 
     def snapshot(self) -> SessionSnapshot:
-        """All that another process of this node needs."""
+        """The state that another process of this node needs to continue."""
         return SessionSnapshot(
             user=self.user,
             name=self.name,
@@ -215,5 +215,7 @@
 
     def _transition(self, state: State) -> None:
         if state not in _TRANSITIONS[self.state]:
-            raise AssertionError(f"session {self.number}: {self.state.value} does not lead to {state.value}")
+            raise AssertionError(
+                f"session {self.number}: no transition from {self.state.value} to {state.value}"
+            )
         self.state = state
--- a/puffinpost/resumption/snapshot.py
+++ b/puffinpost/resumption/snapshot.py
@@ -1,7 +1,7 @@
-"""The state of a session as one process of the node hands it to the next.
+"""The state of a session that a process of the node hands over to its successor.
 
-Outbox and session build and restore it. Keys on the handover channel differ from the field names here; only
-this module knows both.
+The outbox and the session create and restore it. The keys on the handover channel differ from the field names
+here; only this module knows both.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OutboxSnapshot:
-    """All unacknowledged messages of a session."""
+    """The unacknowledged messages of a session."""
 
     acknowledged: int
     last_number: int
-    sent_count: int  # of the first entries, which were written on the present connection
+    sent_count: int  # how many of the first entries were written on the current connection
     entries: tuple[OutboxEntry, ...]
 
     def to_message(self) -> dict[str, Any]:
@@ -33,7 +33,7 @@
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> OutboxSnapshot:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the output of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         entries = tuple(
             OutboxEntry(int(number), str(kind), bytes.fromhex(data), int(sends))
             for number, kind, data, sends in message["entries"]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionSnapshot:
-    """A session, without its connection and its number in the registry."""
+    """A session without its connection and without its number in the registry."""
 
     user: str
     name: str
@@ -51,7 +51,7 @@
     handled_count: int
     token_digest: bytes
     outbox: OutboxSnapshot
-    expires_ns: int | None  # None where the session has a connection
+    expires_ns: int | None  # None if the session has a connection
 
     def to_message(self) -> dict[str, Any]:
         """The state with the keys of the handover channel."""
@@ -67,7 +67,7 @@
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> SessionSnapshot:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the output of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         expires_ns = message["expires_ns"]
         return cls(
             str(message["user"]),
