--- a/puffinpost/frontends/xmpp/__init__.py
+++ b/puffinpost/frontends/xmpp/__init__.py
@@ -1,6 +1,6 @@
-"""The XMPP frontend: streams of clients, and this node's own streams to endpoints.
+"""The XMPP frontend: streams from clients and streams to endpoints.
 
-docs/xmpp.md describes the namespace of its sessions. The runtime imports the frontend from here.
+docs/xmpp.md describes the namespace of its sessions. The runtime imports the frontend from this package.
 """
 
 from puffinpost.frontends.xmpp.frontend import XmppFrontend
--- a/puffinpost/frontends/xmpp/connection.py
+++ b/puffinpost/frontends/xmpp/connection.py
@@ -1,6 +1,7 @@
-"""One connection of an XMPP client and the stream on it.
+"""A connection of an XMPP client and the stream on it.
 
-The connection delivers bytes to it, the stream its events. What may outlive the connection is the session's.
+The connection delivers bytes and the stream delivers events to it. State that may outlive the connection
+belongs to the session.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class XmppConnection:
-    """A client's connection, from its stream header until it is closed."""
+    """A client's connection, from when it is accepted until it is closed."""
 
     def __init__(self, frontend: XmppFrontend, connection: Connection) -> None:
         self.frontend = frontend
@@ -32,7 +33,7 @@
         self.connection = connection
         self.stream = ServerStream(self, frontend.config.server)
         self.session: XmppSession | None = None  # once a resource is bound
-        self.generation = 0  # of the session's connections
+        self.generation = 0  # number of this connection in its session
         self._header_received = False
         self._is_handed_over = False
 
@@ -45,13 +46,15 @@
         if self.stream.failure:
             self.coordinator.counters.add("xmpp_bad_streams")
             peer = log.format_peer(self.connection.peer)
-            log.info(f"bad stream from an XMPP client at {peer}: {self.stream.failure}", high_volume=True)
+            log.info(
+                "invalid XMPP stream from a client", high_volume=True, peer=peer, reason=self.stream.failure
+            )
         if not self._header_received and self.stream.header_sent and not self.stream.ended:
             self._header_received = True
             self.frontend.admission.admit_pending(self, NEGOTIATION_TIMEOUT_S)
 
     def on_input_ended(self) -> None:
-        """The client has half-closed: it may still read its answer."""
+        """The client has half-closed the connection and may still read its answer."""
         session = self.session
         if session is None or session.resumable is not None:
             return
@@ -72,7 +75,7 @@
     # AdmittedConnection: called by admission.
 
     def on_timeout(self) -> None:
-        """Negotiation took too long, or the slot of an idle client is needed."""
+        """Negotiation took too long, or the capacity of an idle client is needed."""
         self.stream.fail("resource-constraint" if self.stream.bound_jid else "connection-timeout")
 
     # StreamHandler: called by the stream.
@@ -88,22 +91,22 @@
         self.connection.start_tls(TlsUpgrade(context, True), self.stream.on_tls_established)
 
     def stream_ready(self) -> None:
-        """A resource is bound: the session begins.
+        """Starts the session, because a resource is bound.
 
-        A client may reconnect before this node knows that its connection is lost: then the earlier stream
-        ends first, and its upstream with it.
+        A client may reconnect before this node detects that its earlier connection is lost. Then the earlier
+        stream and its upstream are ended first.
         """
         jid = self.stream.bound_jid
-        earlier = self.frontend.bound.get(jid)
+        earlier = self.frontend.sessions_by_jid.get(jid)
         if earlier is not None:
             earlier.on_session_replaced()
         self.session = XmppSession(self.frontend, self, jid)
-        self.frontend.bound[jid] = self.session
+        self.frontend.sessions_by_jid[jid] = self.session
         self._header_received = True
         self.frontend.admission.mark_idle(self)
 
     def stream_over(self, clean: bool) -> None:
-        """The stream has ended, and its last bytes are written."""
+        """The stream has ended and its last bytes are written: closes the connection."""
         del clean
         self._release(False, may_resume=self._is_handed_over)
         self.connection.close()
@@ -114,7 +117,7 @@
             self.session.on_stanza(stanza)
 
     def stream_managed(self, element: xmpp.Element) -> None:
-        """An element of stream management (XEP-0198): enable, resume, request or answer."""
+        """Handles an element of stream management (XEP-0198): enable, resume, request or answer."""
         session = self.session
         match element.name:
             case "resume":
@@ -128,18 +131,18 @@
 
     # Called by the session.
 
-    def retire(self) -> None:
-        """This process ends and another serves in its place: the stream ends, its session may be resumed."""
+    def close_for_successor(self) -> None:
+        """Ends the stream because another process replaces this one; the session may be resumed there."""
         self._is_handed_over = True
         self.stream.fail("system-shutdown")
 
     def on_session_taken_over(self) -> None:
-        """Another connection has this one's session or its address."""
+        """Closes the stream, because another connection has resumed its session or bound its address."""
         self.session = None
         self.stream.fail("conflict")
 
     def reset(self) -> None:
-        """Ends the stream without closing it, and resets the connection."""
+        """Resets the connection without closing the stream."""
         self.stream.ended = True
         self._release(True, may_resume=False)
         self.connection.close(True)
--- a/puffinpost/frontends/xmpp/frontend.py
+++ b/puffinpost/frontends/xmpp/frontend.py
@@ -1,6 +1,7 @@
 """Accepts connections of XMPP clients.
 
-The listener and the runtime call it. It owns what all its sessions share, and never reads from a connection.
+The listener and the runtime call it. It owns the state that all sessions share, and never reads from a
+connection.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class XmppFrontend:
-    """Creates a connection's handler, and restores sessions of an earlier process."""
+    """Creates the handlers of connections and restores sessions of an earlier process."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         self.registry = registry
         self.connections: set[XmppConnection] = set()
         self.draining = False
-        self.bound: dict[str, XmppSession] = {}  # by full JID
+        self.sessions_by_jid: dict[str, XmppSession] = {}  # by full JID
 
     def accept(self, connection: Connection) -> XmppConnection:
         """Creates the handler of a new connection; the caller runs the connection with it."""
@@ -48,19 +49,19 @@
         return client
 
     def adopt_session(self, message: dict[str, Any]) -> None:
-        """Restores a session of another process of this node; its client resumes it here.
+        """Restores a session of another process of this node, so that its client can resume it here.
 
-        Raises ``KeyError``, ``TypeError`` or ``ValueError`` where the message is not complete.
+        Raises ``KeyError``, ``TypeError`` or ``ValueError`` if the message is incomplete or invalid.
         """
         state = XmppSessionState.from_message(message)
         resumable = self.registry.restore(state.resumable)
         session = XmppSession(self, None, state.bound_jid)
         session.resumable, resumable.owner = resumable, session
-        self.bound.setdefault(session.bound_jid, session)
+        self.sessions_by_jid.setdefault(session.bound_jid, session)
         self.registry.resume_grace_period(resumable, state.resumable, self.coordinator.clock.now())
 
     def reject_without_descriptor(self, accepted: socket.socket) -> None:
-        """Answers a connection that was accepted with the spare descriptor and is closed next."""
+        """Answers a connection that was accepted with the spare descriptor and is closed right after."""
         header = xmpp.stream_header({"from": self.config.server.domain, "version": "1.0"})
         accepted.send(header + xmpp.stream_error("resource-constraint"))
 
--- a/puffinpost/frontends/xmpp/handover.py
+++ b/puffinpost/frontends/xmpp/handover.py
@@ -1,6 +1,6 @@
-"""The state of an XMPP session as one process of the node hands it to the next.
+"""The state of an XMPP session that a process of the node hands over to its successor.
 
-Keys on the handover channel differ from the field names here; only this module knows both.
+The keys on the handover channel differ from the field names here; only this module knows both.
 """
 
 from __future__ import annotations
@@ -27,5 +27,5 @@
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> XmppSessionState:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the output of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         return cls(SessionSnapshot.from_message(message["session"]), str(message["bound"]))
--- a/puffinpost/frontends/xmpp/management.py
+++ b/puffinpost/frontends/xmpp/management.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from puffinpost.frontends.xmpp.session import XmppSession
 
-MAX_RESUME_DIGITS = 9  # of the seconds that a client asks for
+MAX_RESUME_DIGITS = 9  # of the grace period in seconds that a client requests
 
 
 def enable_management(session: XmppSession, element: xmpp.Element) -> bytes:
-    """Makes a session resumable; returns the answer to the client."""
+    """Makes a session resumable and returns the answer to the client."""
     connection, registry = session.connection, session.frontend.registry
     if session.resumable is not None or connection is None:
         return xmpp.management_failed("unexpected-request")
@@ -34,7 +34,7 @@
 
 
 def _requested_grace_ns(element: xmpp.Element, limit_ns: int) -> int:
-    """How long the session may be resumed after its connection is lost; 0: not at all."""
+    """How long the session is kept after its connection is lost; 0: not at all."""
     if element.attributes.get("resume") not in ("true", "1"):
         return 0
     max_s = element.attributes.get("max", "")
--- a/puffinpost/frontends/xmpp/request.py
+++ b/puffinpost/frontends/xmpp/request.py
@@ -19,13 +19,13 @@
 
 
 class BadRequestError(PuffinpostError):
-    """An IQ that cannot be accepted; the text says why."""
+    """An IQ that is rejected as invalid; the message, which the client receives, is the reason."""
 
 
 def build_session_request(
     coordinator: Coordinator, element: xmpp.Element, client_address: tuple[str, int]
 ) -> SessionRequest:
-    """The request that an ``open`` element stands for. Raises ``BadRequestError``."""
+    """Builds a request from an ``open`` element. Raises ``BadRequestError``."""
     attributes = element.attributes
     request_class = coordinator.class_index(attributes.get("class", ""))
     if request_class is None:
--- a/puffinpost/frontends/xmpp/session.py
+++ b/puffinpost/frontends/xmpp/session.py
@@ -1,8 +1,7 @@
-"""What a bound resource has: at most one request at a time, and with stream management the unacknowledged
-stanzas.
+"""The session of a bound resource, with at most one request at a time.
 
 The connection, the coordinator and the upstream call it. With stream management (XEP-0198) it outlives its
-connection.
+connection and keeps unacknowledged stanzas.
 """
 
 from __future__ import annotations
@@ -26,8 +25,10 @@
     from puffinpost.frontends.xmpp.connection import XmppConnection
     from puffinpost.frontends.xmpp.frontend import XmppFrontend
 
-MAX_BUFFERED_BYTES = 8 * 1024  # of messages before the session is established; then reading is paused
-STANZAS_PER_ACK_REQUEST = 16  # to a managed client, before it is asked what it has handled (XEP-0198, 4)
+MAX_BUFFERED_BYTES = 8 * 1024  # of messages before the session is established; above it, reading is paused
+STANZAS_PER_ACK_REQUEST = (
+    16  # sent with stream management between two requests for an acknowledgement (XEP-0198, 4)
+)
 
 
 class XmppSession(ResumableClient["XmppConnection", XmppUpstream]):
@@ -40,16 +41,16 @@
         self.bound_jid = bound_jid
         self.peer = connection.connection.peer if connection is not None else ("0.0.0.0", 0)
         self.resumable: ResumableSession | None = None  # with stream management
-        self.open_iq_id = ""  # of the IQ that waits for its final answer
+        self.open_iq_id = ""  # id of the IQ that waits for its final answer
         self._open_element = b""
-        self._stanzas = StanzaHandler(self)
+        self._stanza_handler = StanzaHandler(self)
         self._buffer = StanzaBuffer()
         self._stanzas_since_ack_request = 0
 
     # Connections.
 
     def attach(self, connection: XmppConnection) -> None:
-        """Another connection has resumed the session; its ``resumed`` element is written."""
+        """Attaches a connection that has resumed the session; its ``resumed`` element is already written."""
         earlier, self.connection = self.connection, connection
         self.peer, self._stanzas_since_ack_request = connection.connection.peer, 0
         if earlier is not None:
@@ -65,7 +66,7 @@
         self.flush()
 
     def detach(self, connection: XmppConnection, reset: bool, may_resume: bool) -> None:
-        """A connection is lost and may be resumed, or its stream was closed and the session ends."""
+        """Detaches a connection. The session stays if it may be resumed, and ends otherwise."""
         if self.connection is connection:
             self.connection = None
         resumable = self.resumable
@@ -80,7 +81,7 @@
         self._end(reset)
 
     def on_session_replaced(self) -> None:
-        """The client has bound its address again: this session ends, and its connection is closed."""
+        """The client has bound its address again: ends this session and closes its connection."""
         connection, self.connection = self.connection, None
         if self.resumable is not None:
             self.frontend.registry.end(self.resumable, EndReason.REPLACED)
@@ -89,7 +90,7 @@
         self._end(False)
 
     def on_session_expired(self) -> None:
-        """The session has ended, and the request under way ends with it."""
+        """The session has ended: ends the request under way."""
         self._end(False)
 
     # Stanzas.
@@ -97,18 +98,18 @@
     def on_stanza(self, stanza: xmpp.Stanza) -> None:
         """Handles a stanza of the client. It counts as handled once this returns."""
         resumable = self.resumable
-        self._stanzas.on_stanza(stanza)
+        self._stanza_handler.on_stanza(stanza)
         if resumable is not None:
             resumable.count_handled()
 
     def on_ack(self, count: int) -> None:
-        """The client has handled all stanzas up to a count. Raises ``AckError``."""
+        """Releases all stanzas up to the count that the client has handled. Raises ``AckError``."""
         assert self.resumable is not None
         self.resumable.acknowledge(count)
         self.flush()
 
     def send(self, stanza: bytes) -> None:
-        """Sends the client a stanza, now or when it is connected again."""
+        """Sends the client a stanza, now or after it has resumed the session."""
         if self.resumable is not None:
             self.resumable.push("stanza", stanza)
             self.flush()
@@ -116,7 +117,7 @@
             self.connection.connection.write(stanza)
 
     def flush(self) -> None:
-        """Writes what is due, and asks the client from time to time what it has handled."""
+        """Writes the stanzas that are due, and requests an acknowledgement after every few of them."""
         resumable = self.resumable
         if resumable is None:
             return
@@ -129,7 +130,7 @@
                 self._stanzas_since_ack_request = 0
                 chunks.append(xmpp.ACK_REQUEST)
             if chunks:
-                self.connection.connection.write(b"".join(chunks))  # one system call for all
+                self.connection.connection.write(b"".join(chunks))  # in one system call
         self._regulate_upstream(resumable)
 
     def _on_upstream_paused(self) -> None:
@@ -170,7 +171,7 @@
     def on_internal_error(self) -> None:
         """An unexpected exception ends the request with its answer, and closes the upstream."""
         exchange = self.exchange
-        self._give_final_error(xmpp.stanza_error("cancel", "internal-server-error"))
+        self._answer_with_error(xmpp.stanza_error("cancel", "internal-server-error"))
         if exchange is not None:
             self.coordinator.client_disconnected(exchange)
 
@@ -185,19 +186,19 @@
         """Answers that the client should retry later."""
         retry_after_ms = retry_after_ns // MS
         pause = f"<pause xmlns='{SESSION_NAMESPACE}' ms='{retry_after_ms}'/>" if retry_after_ms else ""
-        self._give_final_error(xmpp.stanza_error("wait", "resource-constraint", pause))
+        self._answer_with_error(xmpp.stanza_error("wait", "resource-constraint", pause))
 
     def fail(self, timed_out: bool) -> None:
         """Answers that the request failed."""
         if timed_out:
-            self._give_final_error(xmpp.stanza_error("wait", "remote-server-timeout"))
+            self._answer_with_error(xmpp.stanza_error("wait", "remote-server-timeout"))
         else:
-            self._give_final_error(xmpp.stanza_error("cancel", "service-unavailable"))
+            self._answer_with_error(xmpp.stanza_error("cancel", "service-unavailable"))
 
     def migrate(self) -> None:
-        """Asks the client to open its session again: on its stream if that is managed, else on a new one.
+        """Asks the client to open its session again, on its stream if that is managed, else on a new one.
 
-        Only complete stanzas are ever written, so this falls between two.
+        Only complete stanzas are ever written, so the notification never splits one.
         """
         self._notify("move")
         self.exchange = None
@@ -209,10 +210,10 @@
     # Called by the upstream of the current attempt.
 
     def on_established(self, response: bytes) -> None:
-        """The endpoint has accepted: forwards its response, and the buffered messages the other way."""
+        """The endpoint has accepted: forwards its response downstream and the buffered messages upstream."""
         assert self.upstream is not None and self.upstream.connection is not None
         iq_id, self.open_iq_id = self.open_iq_id, ""
-        self._stanzas.reply("iq", iq_id, "result", response)
+        self._stanza_handler.reply("iq", iq_id, "result", response)
         self._connect_flow_control()
         for raw in self._buffer.clear():
             self.upstream.forward(raw)
@@ -220,7 +221,7 @@
             self.connection.connection.set_reading_paused(False)
 
     def on_upstream_closed(self, result: AttemptResult, reset: bool) -> None:
-        """The endpoint has closed an established session. An unmanaged stream ends the same way."""
+        """The endpoint has closed an established session. An unmanaged stream is closed or reset likewise."""
         self.exchange = None
         if self.resumable is not None:
             if result is AttemptResult.RESET:
@@ -235,26 +236,26 @@
 
     @property
     def can_hand_over(self) -> bool:
-        """Whether the session can be handed to another process at all."""
+        """Whether the session can ever be handed over to another process."""
         return self.resumable is not None and bool(self.resumable.token_digest)
 
     def prepare_handover(self) -> SessionHandover | None:
-        """What another process needs for the session to be resumed there; None where it cannot be now.
+        """Returns what another process needs to resume the session; None if it cannot be handed over now.
 
-        A request under way is not handed over: it is migrated when this process ends, and the client then
-        reconnects to the other process.
+        A session with a request under way is not handed over: it is migrated when this process ends, and the
+        client then reconnects to the other process.
         """
         resumable = self.resumable
         if resumable is None or not self.can_hand_over or self.exchange is not None:
             return None
         if self.connection is not None:
             if self.frontend.draining:
-                self.connection.retire()
+                self.connection.close_for_successor()
             return None
         return SessionHandover(XmppSessionState(resumable.snapshot(), self.bound_jid).to_message(), [])
 
     def release_to_successor(self) -> None:
-        """Another process has the session."""
+        """Removes the session, because another process serves it."""
         self._unbind()
         assert self.resumable is not None
         self.frontend.registry.detach_to_successor(self.resumable)
@@ -266,16 +267,16 @@
         inner = f"<{element_name} xmlns='{SESSION_NAMESPACE}'/>".encode()
         self.send(xmpp.stanza("message", attributes, inner))
 
-    def _give_final_error(self, error: bytes) -> None:
-        """Answers a request that was not established; the stream stays for the next one."""
+    def _answer_with_error(self, error: bytes) -> None:
+        """Answers a request that was not established; the stream stays open for the next request."""
         if self.open_iq_id:
             iq_id, self.open_iq_id = self.open_iq_id, ""
-            self._stanzas.reply("iq", iq_id, "error", error)
+            self._stanza_handler.reply("iq", iq_id, "error", error)
         self.exchange = None
         self._on_exchange_ended()
 
     def _on_exchange_ended(self) -> None:
-        """No request is under way any more: the connection, if there is one, is idle."""
+        """Marks the connection, if there is one, as idle after the end of a request."""
         self._buffer.clear()
         self.admission.release(self)
         connection = self.connection
@@ -289,5 +290,5 @@
         self.admission.release(self)
 
     def _unbind(self) -> None:
-        if self.frontend.bound.get(self.bound_jid) is self:
-            del self.frontend.bound[self.bound_jid]
+        if self.frontend.sessions_by_jid.get(self.bound_jid) is self:
+            del self.frontend.sessions_by_jid[self.bound_jid]
--- a/puffinpost/frontends/xmpp/stanza_handler.py
+++ b/puffinpost/frontends/xmpp/stanza_handler.py
@@ -1,4 +1,4 @@
-"""The stanzas of a client: IQs that open, close, ping and discover, and messages for the endpoint.
+"""Handles stanzas of a client: IQs for open, close, ping and discovery, and messages for the endpoint.
 
 The session calls it for each stanza. It answers through the session and never writes to a connection.
 """
@@ -39,7 +39,7 @@
         # Presence has no meaning here and is ignored.
 
     def reply(self, name: str, stanza_id: str, stanza_type: str, inner: bytes = b"") -> None:
-        """Sends the client an answer to one of its stanzas."""
+        """Answers a stanza of the client."""
         attributes = {
             "type": stanza_type,
             "id": stanza_id,
@@ -91,7 +91,7 @@
         iq_id = element.attributes["id"]
         if session.exchange is not None:
             if not session.exchange.established and iq_id == session.open_iq_id:
-                # A retry of the same IQ joins it: both have one answer.
+                # A retry of the same IQ joins the request under way: both get one answer.
                 session.coordinator.counters.add("edge_joined")
             else:
                 self._refuse(element, "cancel", "conflict")
@@ -109,7 +109,7 @@
     def _refuse_bad_request(self, element: xmpp.Element, error: BadRequestError) -> None:
         self._session.coordinator.counters.add("bad_lines")
         peer = log.format_peer(self._session.peer)
-        log.info(f"bad session from an XMPP client at {peer}: {error}", high_volume=True)
+        log.info("invalid XMPP session request from a client", high_volume=True, peer=peer, reason=error)
         text = f"<text xmlns='{xmpp.STANZA_ERRORS}' xml:lang='en'>{xmpp.escape(str(error))}</text>"
         self._refuse(element, "modify", "bad-request", text)
 
@@ -121,7 +121,7 @@
         self._session.forward(xmpp.readdress(stanza.raw, self._prefixes(), addresses))
 
     def _prefixes(self) -> Mapping[str, str]:
-        """The namespace prefixes that the client's present stream declares."""
+        """The namespace prefixes that the client's current stream declares."""
         connection = self._session.connection
         return connection.stream.prefixes if connection is not None else {}
 
--- a/puffinpost/frontends/xmpp/upstream.py
+++ b/puffinpost/frontends/xmpp/upstream.py
@@ -1,7 +1,7 @@
-"""The stream of an attempt to its endpoint, where this node is the XMPP client.
+"""The stream of an attempt to its endpoint, on which this node is the XMPP client.
 
 The session creates one for each attempt; the connector, the connection and the stream call it. It never
-starts another attempt: it reports to the coordinator how this one ended.
+starts another attempt, but reports the result of its own to the coordinator.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 
 class UpstreamListener(Protocol):
-    """The session, as the upstream of its current attempt calls it."""
+    """The interface of the session to the upstream of its current attempt."""
 
     coordinator: Coordinator
     bound_jid: str
 
     def on_established(self, response: bytes) -> None:
-        """The endpoint has accepted the session, with this XML."""
+        """The endpoint has accepted the session; ``response`` is the XML of its answer."""
 
     def on_upstream_closed(self, result: AttemptResult, reset: bool) -> None:
         """The endpoint has closed an established session."""
 
     def send(self, stanza: bytes) -> None:
-        """A message of the endpoint for the client."""
+        """Sends the client a message of the endpoint."""
 
 
 class XmppUpstream:
@@ -54,7 +54,9 @@
         self.connection: Connection | None = None
         self.stream = ClientStream(self, config.client)
         self.iq_id = f"open-{attempt.exchange.number}-{attempt.number}"
-        self.final_result = AttemptResult.RESET  # unless the endpoint says otherwise before it closes
+        self.final_result = (
+            AttemptResult.RESET
+        )  # until the endpoint announces another result before it closes
 
     # UpstreamHandler: called by the connector.
 
@@ -63,15 +65,15 @@
         self.stream.begin()
 
     def on_flushed(self) -> None:
-        """Only the stream header is written: the endpoint knows of no session yet."""
+        """Does nothing: only the stream header is written, and the endpoint has no session request yet."""
 
     def forward(self, raw: bytes) -> None:
-        """Forwards a message of the client, unchanged but for its addresses."""
+        """Forwards a message of the client, in which only the addresses are changed."""
         self.stream_write(raw)
         self.coordinator.lines_forwarded(self.attempt.exchange, len(raw))
 
     def close(self) -> None:
-        """Closes the connection: after a stream's end where one is bound, else at once."""
+        """Closes the connection; if a resource is bound, closes the stream first."""
         bound = bool(self.stream.bound_jid)
         if not self.stream.ended and bound:
             self.stream_write(xmpp.STREAM_CLOSE)
@@ -111,7 +113,7 @@
         self.connection.start_tls(upgrade, self.stream.on_tls_established)
 
     def stream_ready(self) -> None:
-        """A resource is bound: requests the session, if the attempt may still be started."""
+        """Requests the session, because a resource is bound, if the attempt may still be started."""
         if not self.coordinator.can_write(self.attempt):
             self._complete(AttemptResult.SUPERSEDED, False)
             return
@@ -122,7 +124,7 @@
         self.coordinator.request_written(self.attempt)
 
     def stream_stanza(self, stanza: xmpp.Stanza) -> None:
-        """A stanza of the endpoint."""
+        """Handles a stanza of the endpoint."""
         if self.attempt.completed:
             return
         element = stanza.element
@@ -147,11 +149,11 @@
     # Implementation.
 
     def _closing_result(self) -> AttemptResult:
-        # A stream that ended before the session was requested has run nothing.
+        # If the stream ended before the session was requested, the endpoint has run nothing.
         return self.final_result if self.attempt.written else AttemptResult.CONNECT_FAILED
 
     def _answer_iq(self, element: xmpp.Element, iq_type: str) -> None:
-        """Answers a ping of the endpoint, and refuses every other IQ."""
+        """Answers a ping of the endpoint and refuses any other IQ."""
         is_ping = iq_type == "get" and element.child(xmpp.PING, "ping") is not None
         inner = b"" if is_ping else xmpp.stanza_error("cancel", "service-unavailable")
         attributes = {
@@ -203,4 +205,4 @@
         self.coordinator.attempt_ended(self.attempt, result)
         if result in (AttemptResult.ERROR, AttemptResult.CONNECT_FAILED):
             name = self.coordinator.endpoint_list.name(self.attempt.endpoint)
-            log.info(f"attempt at {name} failed: {result.name.lower()}")
+            log.info("attempt failed", endpoint=name, reason=result.name.lower())
