--- a/tests/test_slixmpp.py
+++ b/tests/test_slixmpp.py
@@ -1,4 +1,4 @@
-"""A client of others' making, slixmpp, resumes its session over a link that is cut."""
+"""Tests resumption with slixmpp, a third-party XMPP client, over an emulated link that is cut."""
 
 from __future__ import annotations
 
@@ -26,54 +26,54 @@
 SHORT_S = 20.0
 
 
-async def in_thread(call: Callable[..., Any], *words: Any) -> Any:
-    return await asyncio.wait_for(asyncio.get_running_loop().run_in_executor(None, call, *words), SHORT_S)
+async def in_thread(call: Callable[..., Any], *arguments: Any) -> Any:
+    return await asyncio.wait_for(asyncio.get_running_loop().run_in_executor(None, call, *arguments), SHORT_S)
 
 
-async def play(deployment: Deployment, xmpp: XmppDeployment, link: Link) -> list[str]:
-    """What the client heard, once it has heard all."""
+async def run_client(deployment: Deployment, xmpp: XmppDeployment, link: Link) -> list[str]:
+    """Runs the client, cuts its connection once, and returns the messages that it received."""
     client = slixmpp.ClientXMPP(f"ada@{DOMAIN}/phone", "lovelace")
     client.ca_certs = CERTIFICATE
     client.register_plugin("xep_0198")
-    heard: list[str] = []
+    received: list[str] = []
     events = {name: asyncio.Event() for name in ("sm_enabled", "session_resumed", "disconnected", "all")}
     for name in ("sm_enabled", "session_resumed", "disconnected"):
-        client.add_event_handler(name, lambda told, name=name: events[name].set())
+        client.add_event_handler(name, lambda _event, name=name: events[name].set())
 
-    def message(told: Any) -> None:
-        heard.append(told["body"])
-        if len(heard) == 20:
+    def on_message(stanza: Any) -> None:
+        received.append(stanza["body"])
+        if len(received) == 20:
             events["all"].set()
 
-    async def comes(name: str) -> None:
+    async def wait_for_event(name: str) -> None:
         await asyncio.wait_for(events[name].wait(), SHORT_S)
 
-    client.add_event_handler("message", message)
+    client.add_event_handler("message", on_message)
     client.connect("127.0.0.1", link.port)
-    await comes("sm_enabled")
+    await wait_for_event("sm_enabled")
     iq = client.make_iq_set(ito=DOMAIN)
     iq.append(ElementTree.fromstring(f"<open xmlns='{SESSION_NAMESPACE}' class='live-text' wait='3000'/>"))
-    asking = asyncio.ensure_future(iq.send(timeout=SHORT_S))  # type: ignore[no-untyped-call]
-    relay = (await in_thread(first_of, deployment.endpoints))[1]
-    answer_iq(relay, await in_thread(negotiate_as_endpoint, relay), SESSION_UP)
-    assert (await asking)["type"] == "result"
+    open_task = asyncio.ensure_future(iq.send(timeout=SHORT_S))  # type: ignore[no-untyped-call]
+    upstream = (await in_thread(first_of, deployment.endpoints))[1]
+    answer_iq(upstream, await in_thread(negotiate_as_endpoint, upstream), SESSION_UP)
+    assert (await open_task)["type"] == "result"
     for number in range(10):
         client.send_message(slixmpp.JID(DOMAIN), f"up {number}")
-        relay.send(b"<message><body>down %d</body></message>" % number)
+        upstream.send(b"<message><body>down %d</body></message>" % number)
     await in_thread(link.tell, "cut", "cut")
-    await comes("disconnected")
+    await wait_for_event("disconnected")
     for number in range(10, 20):
-        relay.send(b"<message><body>down %d</body></message>" % number)
+        upstream.send(b"<message><body>down %d</body></message>" % number)
     client.connect("127.0.0.1", link.port)
-    await comes("session_resumed")
+    await wait_for_event("session_resumed")
     for number in range(10, 20):
         client.send_message(slixmpp.JID(DOMAIN), f"up {number}")
-    await comes("all")
-    passed = [await in_thread(relay.read_until, b"</message>") for _ in range(20)]
-    found = [re.search(rb"<body>(.*)</body>", each) for each in passed]
-    assert [each.group(1) for each in found if each] == [b"up %d" % number for number in range(20)]
+    await wait_for_event("all")
+    forwarded = [await in_thread(upstream.read_until, b"</message>") for _ in range(20)]
+    matches = [re.search(rb"<body>(.*)</body>", each) for each in forwarded]
+    assert [each.group(1) for each in matches if each] == [b"up %d" % number for number in range(20)]
     await client.disconnect()
-    return heard
+    return received
 
 
 def test_slixmpp_resumes_its_session_after_a_connection_loss(
@@ -81,7 +81,7 @@
 ) -> None:
     xmpp = XmppDeployment(deployment, mechanisms='mechanisms = ["SCRAM-SHA-256"]')
     link = links(xmpp.port, "--delay-ms", "5")
-    heard = asyncio.run(play(deployment, xmpp, link))
-    assert heard == [f"down {number}" for number in range(20)] and not asked(deployment)
+    received = asyncio.run(run_client(deployment, xmpp, link))
+    assert received == [f"down {number}" for number in range(20)] and not asked(deployment)
     counts = xmpp.node.read_counters()
     assert counts["relays"] == 1 and counts["edge_resumed"] + counts.get("edge_taken_over", 0) == 1
--- a/tests/test_xmpp.py
+++ b/tests/test_xmpp.py
@@ -1,4 +1,4 @@
-"""XMPP, spoken to the real program by stand-in clients and transcribers."""
+"""Tests the XMPP frontend of a started node with stand-in clients and endpoints."""
 
 from __future__ import annotations
 
@@ -34,86 +34,90 @@
 
 
 @pytest.mark.parametrize("step", [1, 11, 4096])
-def test_a_session_is_served_and_messages_are_forwarded_unchanged(deployment: Deployment, step: int) -> None:
+def test_messages_of_a_session_are_forwarded_unchanged_but_for_addresses(
+    deployment: Deployment, step: int
+) -> None:
     xmpp = XmppDeployment(deployment)
     client, jid = xmpp.connect_and_bind()
-    early = b"<message to='edge.test' id='&lt;1'><q:x a=\">\"/><body>h\xc3\xa9 </body></message>"
-    sent = open_request(2000) + b"\n" + early
+    early_message = b"<message to='edge.test' id='&lt;1'><q:x a=\">\"/><body>h\xc3\xa9 </body></message>"
+    sent = open_request(2000) + b"\n" + early_message
     for at in range(0, len(sent), step):
         client.send(sent[at : at + step])
-    _, relay = first_of(deployment.endpoints)
-    asked = negotiate_as_endpoint(relay)
-    found = re.search(rb"<open xmlns='urn:puffinpost:session:0' class='live-text' wait='(\d+)'", asked)
+    _, upstream = first_of(deployment.endpoints)
+    open_iq = negotiate_as_endpoint(upstream)
+    found = re.search(rb"<open xmlns='urn:puffinpost:session:0' class='live-text' wait='(\d+)'", open_iq)
     assert found is not None and 0 < int(found.group(1)) < 2000
-    assert b" key='7f3a' note='a&gt;b'" in asked
-    answer_iq(relay, asked, SESSION_UP)
+    assert b" key='7f3a' note='a&gt;b'" in open_iq
+    answer_iq(upstream, open_iq, SESSION_UP)
     reply = client.read_until(b"</iq>")
     assert b"type='result'" in reply and b"id='s1'" in reply and SESSION_UP[:-2] in reply
-    passed = relay.read_until(b"</message>")
-    assert passed == early.replace(b" to='edge.test'", b"").replace(
+    forwarded = upstream.read_until(b"</message>")
+    assert forwarded == early_message.replace(b" to='edge.test'", b"").replace(
         b"'&lt;1'", b"'&lt;1' xmlns:q='urn:q' to='" + UPSTREAM_DOMAIN.encode() + b"'"
     )
-    back = b"<message from='x' type='chat'><body>partial</body></message>"
-    relay.send(b"<message><load xmlns='urn:puffinpost:session:0' us='41'/></message>" + back)
+    endpoint_message = b"<message from='x' type='chat'><body>partial</body></message>"
+    upstream.send(b"<message><load xmlns='urn:puffinpost:session:0' us='41'/></message>" + endpoint_message)
     assert b"<load" in client.read_until(b"</message>")
     assert client.read_until(b"</message>") == (
         b"<message type='chat' from='edge.test' to='" + jid + b"'><body>partial</body></message>"
     )
-    relay.send(b"<message><bye xmlns='urn:puffinpost:session:0'/></message></stream:stream>")
+    upstream.send(b"<message><bye xmlns='urn:puffinpost:session:0'/></message></stream:stream>")
     assert b"<bye" in client.read_until(b"</message>") and client.read_until(b"</stream:stream>")
     assert client.wait_for_close() == "end" and xmpp.node.read_counters()["relay_served"] == 1
 
 
-def test_a_rejection_has_its_retry_after_and_the_stream_stays_open(deployment: Deployment) -> None:
+def test_a_rejection_carries_retry_after_and_the_stream_stays_open(deployment: Deployment) -> None:
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
-    sockets = {server.socket: server for server in deployment.endpoints}
+    endpoints_by_socket = {endpoint.socket: endpoint for endpoint in deployment.endpoints}
     for number in ("s1", "s2"):
         client.send(open_request(1200, iq_id=number))
         while client.socket not in (
-            ready := select.select([client.socket, *sockets], [], [], WAIT_TIMEOUT_S)[0]
+            ready := select.select([client.socket, *endpoints_by_socket], [], [], WAIT_TIMEOUT_S)[0]
         ):
             assert ready
-            relay = sockets[ready[0]].accept()
-            answer_iq(relay, negotiate_as_endpoint(relay), RESOURCE_CONSTRAINT, b"error")
-            assert relay.wait_for_close() == "end"  # before the next one begins
+            upstream = endpoints_by_socket[ready[0]].accept()
+            answer_iq(upstream, negotiate_as_endpoint(upstream), RESOURCE_CONSTRAINT, b"error")
+            assert upstream.wait_for_close() == "end"  # before the next attempt begins
         reply = client.read_until(b"</iq>")
         assert b"<error type='wait'><resource-constraint " + STANZAS in reply
         assert b"<pause xmlns='urn:puffinpost:session:0' ms='" in reply and f"id='{number}'".encode() in reply
 
 
-def test_a_failure_has_its_condition(deployment: Deployment) -> None:
+def test_a_failed_request_is_answered_with_its_error_condition(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment).connect_and_bind()
     client.send(open_request(2000, "once"))
-    _, relay = first_of(deployment.endpoints)
-    answer_iq(relay, negotiate_as_endpoint(relay), INTERNAL_SERVER_ERROR, b"error")
+    _, upstream = first_of(deployment.endpoints)
+    answer_iq(upstream, negotiate_as_endpoint(upstream), INTERNAL_SERVER_ERROR, b"error")
     assert b"<error type='cancel'><service-unavailable " + STANZAS in client.read_until(b"</iq>")
-    assert relay.wait_for_close() == "end" and not any(
-        server.has_pending_connection() for server in deployment.endpoints
+    assert upstream.wait_for_close() == "end" and not any(
+        endpoint.has_pending_connection() for endpoint in deployment.endpoints
     )
 
 
 @pytest.mark.parametrize("negotiates", [False, True])
-def test_the_deadline_holds_where_an_endpoint_is_silent(deployment: Deployment, negotiates: bool) -> None:
+def test_the_deadline_is_met_when_an_endpoint_stalls(deployment: Deployment, negotiates: bool) -> None:
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(700))
-    began = time.monotonic()
-    _, relay = first_of(deployment.endpoints)
+    started = time.monotonic()
+    _, upstream = first_of(deployment.endpoints)
     if negotiates:
-        negotiate_as_endpoint(relay)
+        negotiate_as_endpoint(upstream)
     assert b"type='wait'" in client.read_until(b"</iq>")
-    assert time.monotonic() - began < 0.75 and relay.wait_for_close() == "end"
+    assert time.monotonic() - started < 0.75 and upstream.wait_for_close() == "end"
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "stream", "session"])
-@pytest.mark.parametrize("stands", [False, True])
-def test_a_client_that_disconnects_ends_its_attempt(deployment: Deployment, how: str, stands: bool) -> None:
+@pytest.mark.parametrize("established", [False, True])
+def test_a_client_that_disconnects_or_closes_ends_its_attempt(
+    deployment: Deployment, how: str, established: bool
+) -> None:
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
     first = first_of(deployment.endpoints)
-    if stands:
+    if established:
         establish_session(deployment.endpoints, client, first)
     else:
         negotiate_as_endpoint(first[1])
@@ -126,28 +130,30 @@
     else:
         client.close(how)
     assert first[1].wait_for_close() == ("reset" if how == "reset" else "end")
-    assert xmpp.node.read_counters()["served" if stands else "gone"] == 1
-    assert not any(server.has_pending_connection() for server in deployment.endpoints)
+    assert xmpp.node.read_counters()["served" if established else "gone"] == 1
+    assert not any(endpoint.has_pending_connection() for endpoint in deployment.endpoints)
 
 
 @pytest.mark.parametrize("declared", [True, False])
-@pytest.mark.parametrize("stands", [False, True])
-def test_a_stream_restarted_in_mid_session(deployment: Deployment, stands: bool, declared: bool) -> None:
-    """No answer is lost and no second relay begins: the session belongs to the client, not to the stream."""
+@pytest.mark.parametrize("established", [False, True])
+def test_a_session_survives_a_stream_restart(
+    deployment: Deployment, established: bool, declared: bool
+) -> None:
+    """A stream restart loses no answer and starts no second attempt: the session outlives the stream."""
     xmpp = XmppDeployment(deployment)
     client, jid = xmpp.connect_and_bind()
     client.send(open_request(3000))
     first = first_of(deployment.endpoints)
-    asked = negotiate_as_endpoint(first[1])
-    if stands:
-        answer_iq(first[1], asked, SESSION_UP)
+    open_iq = negotiate_as_endpoint(first[1])
+    if established:
+        answer_iq(first[1], open_iq, SESSION_UP)
         assert SESSION_UP in client.read_until(b"</iq>")
     client.send(STREAM_HEADER if declared else STREAM_HEADER[21:])
     assert b"<bind" in client.read_until(FEATURES_END)
     client.send(BIND_REQUEST % b"")
     assert jid in client.read_until(b"</iq>")
-    if not stands:
-        answer_iq(first[1], asked, SESSION_UP)
+    if not established:
+        answer_iq(first[1], open_iq, SESSION_UP)
         reply = client.read_until(b"</iq>")
         assert SESSION_UP in reply and b"id='s1'" in reply
     client.send(b"<message><body>after</body></message>")
@@ -155,7 +161,7 @@
     first[1].send(b"<message><body>back</body></message>")
     assert b"<body>back</body>" in client.read_until(b"</message>")
     assert (
-        not any(server.has_pending_connection() for server in deployment.endpoints)
+        not any(endpoint.has_pending_connection() for endpoint in deployment.endpoints)
         and xmpp.node.read_counters()["relays"] == 1
     )
 
@@ -170,8 +176,8 @@
         peer.read_until(b"<success " + SASL_XMLNS + b"/>")
         assert bind_resource(peer, b"phone") == b"ada@edge.test/phone"
         peer.send(open_request(3000))
-        relay = first_of(deployment.endpoints)[1]
-        peers.append((peer, relay, negotiate_as_endpoint(relay)))
+        upstream = first_of(deployment.endpoints)[1]
+        peers.append((peer, upstream, negotiate_as_endpoint(upstream)))
         if len(peers) == 2:
             assert b"<conflict " in peers[0][0].read_until(b"</stream:stream>")
             assert peers[0][1].wait_for_close() == "end"
@@ -179,30 +185,30 @@
     assert SESSION_UP in peers[1][0].read_until(b"</iq>")
 
 
-def test_an_endpoint_that_drains_during_an_exchange(deployment: Deployment) -> None:
-    """Its client is moved before it goes, and it is given nothing new."""
+def test_a_draining_endpoint_migrates_its_session_and_gets_no_new_one(deployment: Deployment) -> None:
+    """The client receives the migration notice before the node closes the upstream."""
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
     first = first_of(deployment.endpoints)
-    relay = establish_session(deployment.endpoints, client, first)
-    waiting, _ = xmpp.connect_and_bind()
+    upstream = establish_session(deployment.endpoints, client, first)
+    connected_before, _ = xmpp.connect_and_bind()
     deployment.discovery.set_endpoint(
         f"s-{deployment.endpoints.index(first[0])}", first[0].address, "draining"
     )
-    told = time.monotonic()
+    drained_at = time.monotonic()
     client.send(b"<message><body>one</body></message>")
     assert b"<move xmlns='urn:puffinpost:session:0'/>" in client.read_until(b"</message>")
     assert client.read_until(b"</stream:stream>") and client.wait_for_close() == "end"
-    assert relay.wait_for_close() == "end"  # the node went first: this end has closed nothing
-    while time.monotonic() - told < 0.5:
+    assert upstream.wait_for_close() == "end"  # closed by the node; this end is still open
+    while time.monotonic() - drained_at < 0.5:
         select.select([], [], [], 0.05)
-    again, _ = xmpp.connect_and_bind()
-    for number, peer in enumerate((waiting, again)):
+    connected_after, _ = xmpp.connect_and_bind()
+    for number, peer in enumerate((connected_before, connected_after)):
         peer.send(open_request(3000))
-        other, taken = first_of(deployment.endpoints)
-        assert other is not first[0], number
-        establish_session(deployment.endpoints, peer, (other, taken))
+        chosen, accepted = first_of(deployment.endpoints)
+        assert chosen is not first[0], number
+        establish_session(deployment.endpoints, peer, (chosen, accepted))
     assert not first[0].has_pending_connection()
 
 
@@ -210,10 +216,10 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    relay = establish_session(deployment.endpoints, client, first_of(deployment.endpoints))
+    upstream = establish_session(deployment.endpoints, client, first_of(deployment.endpoints))
     idle, _ = xmpp.connect_and_bind()
     xmpp.node.process.terminate()
-    assert b"<move" in client.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
+    assert b"<move" in client.read_until(b"</stream:stream>") and upstream.wait_for_close() == "end"
     assert b"<system-shutdown" in idle.read_until(b"</stream:stream>") and idle.wait_for_close() == "end"
     assert xmpp.node.process.wait(WAIT_TIMEOUT_S) == 0
 
@@ -255,9 +261,9 @@
     deployment: Deployment, sent: bytes, condition: bytes
 ) -> None:
     peer = XmppDeployment(deployment).connect(sent)
-    said = peer.read_until(b"</stream:stream>")
-    assert b"<stream:error><" + condition + b" xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in said
-    assert said.count(b"<stream:stream ") == said.count(b"<?xml") and b"from='edge.test'" in said
+    response = peer.read_until(b"</stream:stream>")
+    assert b"<stream:error><" + condition + b" xmlns='urn:ietf:params:xml:ns:xmpp-streams'/>" in response
+    assert response.count(b"<stream:stream ") == response.count(b"<?xml") and b"from='edge.test'" in response
 
 
 @pytest.mark.parametrize(
@@ -288,7 +294,7 @@
     client.send(sent + b"<iq type='get' id='p'><ping xmlns='urn:xmpp:ping'/></iq>")
     assert error in client.read_until(b"id='p'")
     if not sent.startswith(open_request(2000) + b"<iq"):
-        assert not any(server.has_pending_connection() for server in deployment.endpoints)
+        assert not any(endpoint.has_pending_connection() for endpoint in deployment.endpoints)
 
 
 @pytest.mark.parametrize("sent", [plain_auth("ada", "lovelace"), b"challenge"])
@@ -316,7 +322,9 @@
         (False, b"<abort " + SASL_XMLNS + b"/>", b"aborted"),
     ],
 )
-def test_sasl_failures(deployment: Deployment, certificate: bool, sent: bytes, condition: bytes) -> None:
+def test_three_sasl_failures_end_the_stream(
+    deployment: Deployment, certificate: bool, sent: bytes, condition: bytes
+) -> None:
     peer = XmppDeployment(deployment).connect_over_tls(certificate)
     peer.read_until(FEATURES_END)
     for _ in range(3):
@@ -325,58 +333,59 @@
     assert b"<policy-violation " in peer.read_until(b"</stream:stream>") and peer.wait_for_close() == "end"
 
 
-def test_plain_is_refused_without_tls_and_a_certificate_authenticates(deployment: Deployment) -> None:
+def test_plain_is_refused_without_tls_and_external_accepts_a_certificate(deployment: Deployment) -> None:
     xmpp = XmppDeployment(deployment, extra_config="require_tls = true\n")
     peer = xmpp.connect(STREAM_HEADER)
     features = peer.read_until(FEATURES_END)
     assert b"<required/>" in features and b"mechanism" not in features
     peer.send(plain_auth("ada", "lovelace"))
     assert b"<encryption-required/>" in peer.read_until(b"</failure>")
-    sure = xmpp.connect_over_tls(certificate=True)
-    assert b"EXTERNAL" in sure.read_until(FEATURES_END)
-    sure.send(b"<auth " + SASL_XMLNS + b" mechanism='EXTERNAL'>=</auth>")
-    sure.read_until(b"<success " + SASL_XMLNS + b"/>")
-    assert bind_resource(sure, b"r") == b"edge.test@edge.test/r"
+    tls_peer = xmpp.connect_over_tls(certificate=True)
+    assert b"EXTERNAL" in tls_peer.read_until(FEATURES_END)
+    tls_peer.send(b"<auth " + SASL_XMLNS + b" mechanism='EXTERNAL'>=</auth>")
+    tls_peer.read_until(b"<success " + SASL_XMLNS + b"/>")
+    assert bind_resource(tls_peer, b"r") == b"edge.test@edge.test/r"
 
 
 def test_endpoints_are_reached_over_tls_where_configured(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment, upstream_tls=True).connect_and_bind()
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
-    answer_iq(relay, negotiate_as_endpoint(relay, tls=True), SESSION_UP)
+    upstream = first_of(deployment.endpoints)[1]
+    answer_iq(upstream, negotiate_as_endpoint(upstream, tls=True), SESSION_UP)
     assert SESSION_UP in client.read_until(b"</iq>")
     client.send(b"<message><body>over</body></message>")
-    assert b"<body>over</body>" in relay.read_until(b"</message>")
+    assert b"<body>over</body>" in upstream.read_until(b"</message>")
 
 
 @pytest.mark.parametrize(
     "offers", [b"", b"<mechanisms " + SASL_XMLNS + b"><mechanism>X</mechanism></mechanisms>"]
 )
-def test_an_endpoint_that_fails_negotiation_has_started_nothing(
+def test_a_request_is_retried_after_an_endpoint_fails_negotiation(
     deployment: Deployment, offers: bytes
 ) -> None:
-    """Such a relay is 'could not connect': even what may run once only goes on to the next transcriber."""
+    """The attempt counts as a failed connection, so even a request that may run only once is retried."""
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000, "once"))
-    first, relay = first_of(deployment.endpoints)
-    relay.read_until(b"version='1.0'>")
-    relay.send(STREAM_HEADER + b"<stream:features>" + offers + FEATURES_END)
+    first, upstream = first_of(deployment.endpoints)
+    upstream.read_until(b"version='1.0'>")
+    upstream.send(STREAM_HEADER + b"<stream:features>" + offers + FEATURES_END)
     if not offers:
-        relay.close()
+        upstream.close()
     else:
         assert (
-            b"<policy-violation " in relay.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
+            b"<policy-violation " in upstream.read_until(b"</stream:stream>")
+            and upstream.wait_for_close() == "end"
         )
-    second, again = first_of(deployment.endpoints)
+    second, retry_upstream = first_of(deployment.endpoints)
     assert second is not first
-    answer_iq(again, negotiate_as_endpoint(again), SESSION_UP)
+    answer_iq(retry_upstream, negotiate_as_endpoint(retry_upstream), SESSION_UP)
     assert SESSION_NAMESPACE.encode() in client.read_until(b"</iq>")
 
 
 def test_endpoints_may_listen_for_xmpp_on_a_separate_port(deployment: Deployment) -> None:
-    listed, meant = deployment.endpoints
-    client, _ = XmppDeployment(deployment, port=meant.port, endpoint_count=1).connect_and_bind()
+    listed, xmpp_endpoint = deployment.endpoints
+    client, _ = XmppDeployment(deployment, port=xmpp_endpoint.port, endpoint_count=1).connect_and_bind()
     client.send(open_request(3000))
-    establish_session(deployment.endpoints, client, (meant, meant.accept()))
+    establish_session(deployment.endpoints, client, (xmpp_endpoint, xmpp_endpoint.accept()))
     assert not listed.has_pending_connection()
--- a/tests/test_xmpp_managed.py
+++ b/tests/test_xmpp_managed.py
@@ -1,4 +1,4 @@
-"""Stream management (XEP-0198) on the XMPP front, spoken to the real program."""
+"""Tests stream management (XEP-0198) of the XMPP frontend of a started node."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 SM = b"xmlns='urn:xmpp:sm:3'"
 
 
-class Managed:
-    """A client that keeps what XEP-0198 wants kept: its own stanzas, and a count of those that came."""
+class ManagedClient:
+    """A client that keeps the state that XEP-0198 requires: unacknowledged stanzas and the handled count."""
 
     def __init__(self, xmpp: XmppDeployment, resource: bytes = b"phone", user: str = "ada") -> None:
         self.xmpp, self.user = xmpp, user
-        self.handled = 0
+        self.handled_count = 0
         self.stanzas: list[bytes] = []
-        self.sent: list[bytes] = []  # not acknowledged
-        self.total = 0  # acknowledged
-        self.peer = self.authenticated()
+        self.unacknowledged: list[bytes] = []
+        self.acknowledged_count = 0
+        self.peer = self.connect_and_authenticate()
         self.peer.send(BIND_REQUEST % (b"<resource>" + resource + b"</resource>"))
         self.peer.read_until(b"</iq>")
         self.peer.send(b"<enable " + SM + b" resume='true' max='60'/>")
@@ -42,9 +42,9 @@
             rb"<enabled [^>]*id='([0-9a-f]{48})'[^>]*max='(\d+)'/>", self.peer.read_until(b"/>")
         )
         assert found is not None
-        self.token, self.max = found.group(1), int(found.group(2))
+        self.token, self.max_s = found.group(1), int(found.group(2))
 
-    def authenticated(self) -> SocketPeer:
+    def connect_and_authenticate(self) -> SocketPeer:
         peer = self.xmpp.connect_over_tls()
         peer.read_until(FEATURES_END)
         peer.send(plain_auth(self.user, "lovelace"))
@@ -54,151 +54,151 @@
         return peer
 
     def send(self, stanza: bytes) -> None:
-        self.sent.append(stanza)
+        self.unacknowledged.append(stanza)
         self.peer.send(stanza)
 
-    def resume(self, token: bytes = b"", handled: int | None = None) -> bytes:
-        """Comes back on a new connection; what the node says to that."""
-        self.peer = self.authenticated()
-        count = self.handled if handled is None else handled
+    def resume(self, token: bytes = b"", handled_count: int | None = None) -> bytes:
+        """Resumes the session on a new connection and returns the node's response."""
+        self.peer = self.connect_and_authenticate()
+        count = self.handled_count if handled_count is None else handled_count
         self.peer.send(b"<resume " + SM + b" h='%d' previd='%s'/>" % (count, token or self.token))
-        said = self.peer.read_until(b">")
-        if b"<resumed " in said:
-            found = re.search(rb" h='(\d+)'", said)
+        response = self.peer.read_until(b">")
+        if b"<resumed " in response:
+            found = re.search(rb" h='(\d+)'", response)
             assert found is not None
-            self.acknowledged(int(found.group(1)))
-            for stanza in self.sent:
+            self.on_acknowledged(int(found.group(1)))
+            for stanza in self.unacknowledged:
                 self.peer.send(stanza)
-        return said if b"/>" in said else said + self.peer.read_until(b"</failed>")
+        return response if b"/>" in response else response + self.peer.read_until(b"</failed>")
 
-    def acknowledged(self, count: int) -> None:
-        self.sent = self.sent[count - self.total :]
-        self.total = count
+    def on_acknowledged(self, count: int) -> None:
+        self.unacknowledged = self.unacknowledged[count - self.acknowledged_count :]
+        self.acknowledged_count = count
 
-    def stanza(self) -> bytes:
-        """The next stanza; what stream management says between is answered."""
+    def receive_stanza(self) -> bytes:
+        """Returns the next stanza, and answers acknowledgement requests that arrive before it."""
         while True:
-            said = self.peer.read_until(b">")
-            if said.startswith(b"<r "):
-                self.peer.send(b"<a " + SM + b" h='%d'/>" % self.handled)
-            elif not said.startswith(b"<a "):
-                name = re.match(rb"<(\w+)", said)
+            response = self.peer.read_until(b">")
+            if response.startswith(b"<r "):
+                self.peer.send(b"<a " + SM + b" h='%d'/>" % self.handled_count)
+            elif not response.startswith(b"<a "):
+                name = re.match(rb"<(\w+)", response)
                 assert name is not None
-                if not said.endswith(b"/>"):
-                    said += self.peer.read_until(b"</" + name.group(1) + b">")
-                self.handled += 1
-                self.stanzas.append(said)
-                return said
-
-    def ask(self) -> int:
-        """How much of what was sent the node has handled."""
+                if not response.endswith(b"/>"):
+                    response += self.peer.read_until(b"</" + name.group(1) + b">")
+                self.handled_count += 1
+                self.stanzas.append(response)
+                return response
+
+    def request_handled_count(self) -> int:
+        """Requests and returns how many of the sent stanzas the node has handled."""
         self.peer.send(b"<r " + SM + b"/>")
         found = re.search(rb"<a [^>]*h='(\d+)'", self.peer.read_until(b"/>"))
         assert found is not None
         return int(found.group(1))
 
 
-def up(deployment: Deployment, client: Managed) -> SocketPeer:
+def open_session(deployment: Deployment, client: ManagedClient) -> SocketPeer:
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
-    answer_iq(relay, negotiate_as_endpoint(relay), SESSION_UP)
-    assert SESSION_UP in client.stanza()
-    return relay
+    upstream = first_of(deployment.endpoints)[1]
+    answer_iq(upstream, negotiate_as_endpoint(upstream), SESSION_UP)
+    assert SESSION_UP in client.receive_stanza()
+    return upstream
 
 
-def lose(client: Managed) -> None:
+def lose_connection(client: ManagedClient) -> None:
     client.peer.close("reset")
     client.xmpp.node.wait_for_counter(
         "edge_detached", 1 + client.xmpp.node.read_counters().get("edge_resumed", 0)
     )
 
 
-def test_a_connection_lost_in_mid_stanza_is_resumed_and_each_message_arrives_once(
+def test_after_a_connection_loss_in_mid_stanza_each_message_arrives_once(
     deployment: Deployment,
 ) -> None:
-    client = Managed(XmppDeployment(deployment))
-    relay = up(deployment, client)
+    client = ManagedClient(XmppDeployment(deployment))
+    upstream = open_session(deployment, client)
     client.send(b"<message id='1'><body>first</body></message>")
-    assert client.ask() == 2
-    half = b"<message id='2'><body>second</body></message>"
-    client.sent.append(half)
-    client.peer.send(half[:20])
-    lose(client)
+    assert client.request_handled_count() == 2
+    partial = b"<message id='2'><body>second</body></message>"
+    client.unacknowledged.append(partial)
+    client.peer.send(partial[:20])
+    lose_connection(client)
     for number in range(40):
-        relay.send(b"<message><body>meanwhile %d</body></message>" % number)
+        upstream.send(b"<message><body>meanwhile %d</body></message>" % number)
     assert b"<resumed " in client.resume()
-    bodies = [client.stanza() for _ in range(40)]
+    bodies = [client.receive_stanza() for _ in range(40)]
     assert [b"meanwhile %d<" % number in body for number, body in enumerate(bodies)] == [True] * 40
     client.send(b"<message id='3'><body>third</body></message>")
-    passed = [relay.read_until(b"</message>") for _ in range(3)]
-    assert [re.search(rb"<body>(\w+)", each).group(1) for each in passed] == [  # type: ignore[union-attr]
+    forwarded = [upstream.read_until(b"</message>") for _ in range(3)]
+    assert [re.search(rb"<body>(\w+)", each).group(1) for each in forwarded] == [  # type: ignore[union-attr]
         b"first",
         b"second",
         b"third",
     ]
-    assert not any(server.has_pending_connection() for server in deployment.endpoints)
+    assert not any(endpoint.has_pending_connection() for endpoint in deployment.endpoints)
     assert client.xmpp.node.read_counters()["relays"] == 1
 
 
-def test_an_answer_given_while_disconnected_is_delivered_once_and_a_retry_joins(
+def test_an_answer_given_while_disconnected_is_delivered_once_after_resumption(
     deployment: Deployment,
 ) -> None:
-    client = Managed(XmppDeployment(deployment))
+    client = ManagedClient(XmppDeployment(deployment))
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
-    asked = negotiate_as_endpoint(relay)
-    lose(client)
-    answer_iq(relay, asked, SESSION_UP)
+    upstream = first_of(deployment.endpoints)[1]
+    open_iq = negotiate_as_endpoint(upstream)
+    lose_connection(client)
+    answer_iq(upstream, open_iq, SESSION_UP)
     client.xmpp.node.wait_for_counter("up", 1)
     assert b"<resumed " in client.resume()
-    assert SESSION_UP in client.stanza() and not client.sent
-    lose(client)
+    assert SESSION_UP in client.receive_stanza() and not client.unacknowledged
+    lose_connection(client)
     assert b"<resumed " in client.resume()
-    assert client.ask() == 1
+    assert client.request_handled_count() == 1
     assert not client.peer.buffer and not select.select([client.peer.socket], [], [], 0)[0]
-    relay.send(b"<message><body>x</body></message>")
-    assert b"<body>x" in client.stanza() and not any(
-        server.has_pending_connection() for server in deployment.endpoints
+    upstream.send(b"<message><body>x</body></message>")
+    assert b"<body>x" in client.receive_stanza() and not any(
+        endpoint.has_pending_connection() for endpoint in deployment.endpoints
     )
 
 
-def test_a_repeated_open_joins_the_one_under_way(deployment: Deployment) -> None:
-    client = Managed(XmppDeployment(deployment))
+def test_a_repeated_open_joins_the_request_under_way(deployment: Deployment) -> None:
+    client = ManagedClient(XmppDeployment(deployment))
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
-    asked = negotiate_as_endpoint(relay)
+    upstream = first_of(deployment.endpoints)[1]
+    open_iq = negotiate_as_endpoint(upstream)
     client.send(open_request(3000))
-    assert client.ask() == 2
-    answer_iq(relay, asked, SESSION_UP)
-    assert SESSION_UP in client.stanza() and client.ask() == 2
+    assert client.request_handled_count() == 2
+    answer_iq(upstream, open_iq, SESSION_UP)
+    assert SESSION_UP in client.receive_stanza() and client.request_handled_count() == 2
     assert client.xmpp.node.read_counters()["messages"] == 1 and not any(
-        server.has_pending_connection() for server in deployment.endpoints
+        endpoint.has_pending_connection() for endpoint in deployment.endpoints
     )
 
 
-def test_the_newer_of_two_connections_wins(deployment: Deployment) -> None:
-    client = Managed(XmppDeployment(deployment))
-    relay = up(deployment, client)
-    old = client.peer
+def test_a_connection_that_resumes_a_session_replaces_the_earlier_connection(deployment: Deployment) -> None:
+    client = ManagedClient(XmppDeployment(deployment))
+    upstream = open_session(deployment, client)
+    earlier = client.peer
     assert b"<resumed " in client.resume()
-    assert b"<conflict " in old.read_until(b"</stream:stream>") and old.wait_for_close() == "end"
+    assert b"<conflict " in earlier.read_until(b"</stream:stream>") and earlier.wait_for_close() == "end"
     client.send(b"<message><body>newer</body></message>")
-    assert b"newer" in relay.read_until(b"</message>")
+    assert b"newer" in upstream.read_until(b"</message>")
 
 
 @pytest.mark.parametrize("how", ["wrong", "foreign", "ended"])
-def test_an_invalid_token_reveals_nothing(deployment: Deployment, how: str) -> None:
+def test_an_invalid_token_is_refused_and_reveals_nothing(deployment: Deployment, how: str) -> None:
     xmpp = XmppDeployment(deployment)
-    client = Managed(xmpp)
-    relay = up(deployment, client)
+    client = ManagedClient(xmpp)
+    upstream = open_session(deployment, client)
     if how == "ended":
         client.peer.send(b"</stream:stream>")
-        assert relay.wait_for_close() == "end"
+        assert upstream.wait_for_close() == "end"
     else:
-        lose(client)
+        lose_connection(client)
     if how == "foreign":
-        stranger, _ = xmpp.connect_and_bind()
-        stranger.close()
+        other_client, _ = xmpp.connect_and_bind()
+        other_client.close()
         peer = xmpp.connect(STREAM_HEADER)
         peer.read_until(FEATURES_END)
         peer.send(b"<auth " + SASL_XMLNS + b" mechanism='ANONYMOUS'/>")
@@ -206,25 +206,25 @@
         peer.send(STREAM_HEADER)
         peer.read_until(FEATURES_END)
         peer.send(b"<resume " + SM + b" h='0' previd='" + client.token + b"'/>")
-        said = peer.read_until(b"</failed>")
+        response = peer.read_until(b"</failed>")
     else:
-        said = client.resume(b"0" * 48 if how == "wrong" else b"")
+        response = client.resume(b"0" * 48 if how == "wrong" else b"")
         peer = client.peer
-    handled = b" h='1'" if how == "ended" else b""  # his own, so he is told how far it came
-    why = b"<item-not-found xmlns='urn:ietf:params:xml:ns:xmpp-stanzas'/>"
-    assert said == b"<failed " + SM + handled + b">" + why + b"</failed>"
-    peer.send(BIND_REQUEST % b"")  # the stream goes on
+    handled_attribute = b" h='1'" if how == "ended" else b""  # returned for the user's own session
+    condition = b"<item-not-found xmlns='urn:ietf:params:xml:ns:xmpp-stanzas'/>"
+    assert response == b"<failed " + SM + handled_attribute + b">" + condition + b"</failed>"
+    peer.send(BIND_REQUEST % b"")  # the stream stays usable
     assert b"<jid>" in peer.read_until(b"</iq>")
 
 
 @pytest.mark.parametrize("count", [5, 4294967295])
 def test_an_acknowledgement_of_unsent_stanzas_ends_the_stream(deployment: Deployment, count: int) -> None:
-    client = Managed(XmppDeployment(deployment))
-    up(deployment, client)
+    client = ManagedClient(XmppDeployment(deployment))
+    open_session(deployment, client)
     client.peer.send(b"<a " + SM + b" h='%d'/>" % count)
-    said = client.peer.read_until(b"</stream:stream>")
-    assert b"<handled-count-too-high " + SM + b" h='%d' send-count='0'/>" % count in said
-    assert b"undefined-condition" in said
+    response = client.peer.read_until(b"</stream:stream>")
+    assert b"<handled-count-too-high " + SM + b" h='%d' send-count='0'/>" % count in response
+    assert b"undefined-condition" in response
 
 
 def test_stream_management_out_of_sequence_is_refused(deployment: Deployment) -> None:
@@ -249,33 +249,33 @@
 
 def test_a_managed_client_is_notified_of_migration_when_it_resumes(deployment: Deployment) -> None:
     xmpp = XmppDeployment(deployment)
-    client = Managed(xmpp)
-    relay = up(deployment, client)
-    lose(client)
-    for number, server in enumerate(deployment.endpoints):
-        if server.port == relay.socket.getsockname()[1]:
-            deployment.discovery.set_endpoint(f"s-{number}", server.address, "draining")
-    assert relay.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
+    client = ManagedClient(xmpp)
+    upstream = open_session(deployment, client)
+    lose_connection(client)
+    for number, endpoint in enumerate(deployment.endpoints):
+        if endpoint.port == upstream.socket.getsockname()[1]:
+            deployment.discovery.set_endpoint(f"s-{number}", endpoint.address, "draining")
+    assert upstream.read_until(b"</stream:stream>") and upstream.wait_for_close() == "end"
     assert b"<resumed " in client.resume()
-    assert b"<move xmlns='urn:puffinpost:session:0'/>" in client.stanza()
-    up(deployment, client)
+    assert b"<move xmlns='urn:puffinpost:session:0'/>" in client.receive_stanza()
+    open_session(deployment, client)
 
 
-def test_nothing_is_kept_after_the_grace_period(deployment: Deployment) -> None:
+def test_a_session_ends_after_the_grace_period(deployment: Deployment) -> None:
     xmpp = XmppDeployment(deployment, extra_config="[resume]\ngrace_s = 1\n")
-    client = Managed(xmpp)
-    assert client.max == 1
-    relay = up(deployment, client)
+    client = ManagedClient(xmpp)
+    assert client.max_s == 1
+    upstream = open_session(deployment, client)
     client.peer.close("reset")
-    assert relay.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
+    assert upstream.read_until(b"</stream:stream>") and upstream.wait_for_close() == "end"
     assert b"<item-not-found " in client.resume()
 
 
 def test_service_discovery_lists_the_features(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment).connect_and_bind()
     client.send(b"<iq type='get' id='d'><query xmlns='http://jabber.org/protocol/disco#info'/></iq>")
-    said = client.read_until(b"</iq>")
-    features = re.findall(rb"<feature var='([^']*)'", said)
+    response = client.read_until(b"</iq>")
+    features = re.findall(rb"<feature var='([^']*)'", response)
     assert features == [
         b"http://jabber.org/protocol/disco#info",
         b"urn:xmpp:ping",
@@ -285,33 +285,35 @@
     assert b"<item-not-found " in client.read_until(b"</iq>")
 
 
-@pytest.mark.parametrize("away", [False, True])
-def test_after_an_upgrade_a_client_resumes_and_no_stanza_is_lost(deployment: Deployment, away: bool) -> None:
-    """The client resumes at the process that has come: what it had not acknowledged, and the move."""
+@pytest.mark.parametrize("disconnected", [False, True])
+def test_after_a_hot_restart_a_client_resumes_and_no_stanza_is_lost(
+    deployment: Deployment, disconnected: bool
+) -> None:
+    """The client resumes at the successor and receives unacknowledged stanzas and the migration notice."""
     xmpp = XmppDeployment(deployment)
-    client = Managed(xmpp)
-    relay = up(deployment, client)
-    old = xmpp.node
-    relay.send(b"<message><body>one</body></message>")
-    assert b"<body>one" in client.stanza()
+    client = ManagedClient(xmpp)
+    upstream = open_session(deployment, client)
+    predecessor = xmpp.node
+    upstream.send(b"<message><body>one</body></message>")
+    assert b"<body>one" in client.receive_stanza()
     client.send(b"<message id='x'><body>there</body></message>")
-    assert client.ask() == 2
-    if away:
-        lose(client)
-        relay.send(b"<message><body>two</body></message>")
-    xmpp.node = deployment.start(edge=xmpp.edge, same_port_as=old)
+    assert client.request_handled_count() == 2
+    if disconnected:
+        lose_connection(client)
+        upstream.send(b"<message><body>two</body></message>")
+    xmpp.node = deployment.start(edge=xmpp.edge, same_port_as=predecessor)
     xmpp.node.wait_until_ready()
-    old.process.terminate()
-    if not away:
-        relay.send(b"<message><body>two</body></message>")
-        assert b"<body>two" in client.stanza()
-    assert relay.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
-    if not away:
-        assert b"<move " in client.stanza()
+    predecessor.process.terminate()
+    if not disconnected:
+        upstream.send(b"<message><body>two</body></message>")
+        assert b"<body>two" in client.receive_stanza()
+    assert upstream.read_until(b"</stream:stream>") and upstream.wait_for_close() == "end"
+    if not disconnected:
+        assert b"<move " in client.receive_stanza()
         assert b"<system-shutdown " in client.peer.read_until(b"</stream:stream>")
     xmpp.node.wait_for_counter("edge_restored", 1)
-    assert old.process.wait(WAIT_TIMEOUT_S) == 0
-    assert b"<resumed " in client.resume() and client.total == 2
-    if away:
-        assert b"<body>two" in client.stanza() and b"<move " in client.stanza()
-    up(deployment, client)
+    assert predecessor.process.wait(WAIT_TIMEOUT_S) == 0
+    assert b"<resumed " in client.resume() and client.acknowledged_count == 2
+    if disconnected:
+        assert b"<body>two" in client.receive_stanza() and b"<move " in client.receive_stanza()
+    open_session(deployment, client)
