--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""A server that falls silent, and a zone that does: given up on two signs, and on no fewer."""
+"""Tests that an endpoint or a zone is treated as stalled on two signs, and not on fewer."""
 
 from __future__ import annotations
 
@@ -20,126 +20,141 @@
     ResponseOverdue,
 )
 
-FAR = {4, 5, 6}  # the zone that is lost below
+REMOTE_ENDPOINTS = {4, 5, 6}  # the endpoints of zone 1, which stalls in some tests
 
 
-def owed(server: int, request: int = 1) -> ResponseOverdue:
-    return ResponseOverdue(request, server, 400 * MS)
+def response_overdue(endpoint: int, request: int = 1) -> ResponseOverdue:
+    return ResponseOverdue(request, endpoint, 400 * MS)
 
 
-def missed(
-    server: int, result: AttemptResult = AttemptResult.TIMEOUT, took_ms: int = 250
+def health_check_failed(
+    endpoint: int, result: AttemptResult = AttemptResult.TIMEOUT, elapsed_ms: int = 250
 ) -> HealthCheckCompleted:
-    return HealthCheckCompleted(server, result, took_ms * MS)
+    return HealthCheckCompleted(endpoint, result, elapsed_ms * MS)
 
 
-def settled(seed: int = 1) -> BalancerHarness:
-    """One connection at each of six servers of two zones, and no probe out."""
-    world = BalancerHarness(
+def harness_with_connections(seed: int = 1) -> BalancerHarness:
+    """A balancer with one connection at each of six endpoints in two zones, without pending health checks."""
+    harness = BalancerHarness(
         replace(BALANCER_SETTINGS, balancer_count=40),
-        *(endpoint_entry(it, zone=int(it in FAR)) for it in range(1, 7)),
+        *(endpoint_entry(it, zone=int(it in REMOTE_ENDPOINTS)) for it in range(1, 7)),
         seed=seed,
     )
-    for server in range(1, 7):
-        world.last_request = world.next_request
-        world.next_request += 1
-        request = RequestReceived(world.last_request, 0, world.now_ns + 2 * S)
-        world.handle(ConnectionAdopted(request, server))
-    return world
+    for endpoint in range(1, 7):
+        harness.last_request = harness.next_request
+        harness.next_request += 1
+        request = RequestReceived(harness.last_request, 0, harness.now_ns + 2 * S)
+        harness.handle(ConnectionAdopted(request, endpoint))
+    return harness
 
 
-def moves(actions: Iterable[Action]) -> set[int]:
+def migrated_requests(actions: Iterable[Action]) -> set[int]:
     return {action.request for action in actions if isinstance(action, Migrate)}
 
 
-def test_an_owed_line_asks_and_a_missed_probe_after_it_gives_up() -> None:
-    world = settled()
-    assert actions_of_type(world.handle(owed(1)), CheckHealth) == [CheckHealth(1)]
-    assert moves(world.handle(missed(1))) == {1}
+def test_overdue_response_triggers_a_health_check_and_a_missed_one_migrates() -> None:
+    harness = harness_with_connections()
+    assert actions_of_type(harness.handle(response_overdue(1)), CheckHealth) == [CheckHealth(1)]
+    assert migrated_requests(harness.handle(health_check_failed(1))) == {1}
 
 
-def test_an_answer_to_the_probe_keeps_the_connection_however_long_the_line_is_owed() -> None:
-    world = settled()
+def test_answered_health_check_prevents_migration_despite_repeated_overdue_responses() -> None:
+    harness = harness_with_connections()
     for _ in range(5):
-        world.handle(owed(1))
-        assert moves(world.handle(HealthCheckCompleted(1, AttemptResult.SERVED, MS))) == set()
+        harness.handle(response_overdue(1))
+        assert migrated_requests(harness.handle(HealthCheckCompleted(1, AttemptResult.SERVED, MS))) == set()
 
 
 @pytest.mark.parametrize("answer", [AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.RESET])
-def test_whatever_it_says_it_is_there(answer: AttemptResult) -> None:
-    world = settled()
-    world.handle(owed(1))
-    assert moves(world.handle(missed(1, answer))) == set()
-    assert moves(world.handle(missed(1))) == set()  # the first sign since it was heard of
-
-
-def test_a_refused_connection_is_an_answer_of_the_machine() -> None:
-    """Guards nodes just started: their old lists name processes that are gone, on machines that stand."""
-    world = settled()
-    world.handle(owed(4))
-    for server in FAR:
-        assert moves(world.handle(missed(server, AttemptResult.CONNECT_FAILED, took_ms=1))) == set()
-    assert moves(world.handle(missed(5, AttemptResult.CONNECT_FAILED))) == set()
-    assert moves(world.handle(missed(5, AttemptResult.CONNECT_FAILED))) == {5}
+def test_any_answer_to_a_health_check_clears_the_signs_of_a_stall(answer: AttemptResult) -> None:
+    harness = harness_with_connections()
+    harness.handle(response_overdue(1))
+    assert migrated_requests(harness.handle(health_check_failed(1, answer))) == set()
+    # This is the first sign since the endpoint's last answer.
+    assert migrated_requests(harness.handle(health_check_failed(1))) == set()
+
+
+def test_promptly_refused_connection_is_not_a_missed_health_check() -> None:
+    """The old list of a node that has just started may have processes that have ended on healthy machines."""
+    harness = harness_with_connections()
+    harness.handle(response_overdue(4))
+    for endpoint in REMOTE_ENDPOINTS:
+        assert (
+            migrated_requests(
+                harness.handle(health_check_failed(endpoint, AttemptResult.CONNECT_FAILED, elapsed_ms=1))
+            )
+            == set()
+        )
+    assert migrated_requests(harness.handle(health_check_failed(5, AttemptResult.CONNECT_FAILED))) == set()
+    assert migrated_requests(harness.handle(health_check_failed(5, AttemptResult.CONNECT_FAILED))) == {5}
 
 
-def test_one_lost_probe_moves_nobody_and_asks_again_at_once() -> None:
-    world = settled()
-    assert world.handle(missed(2)) == [CheckHealth(2)]
-    assert moves(world.handle(missed(2))) == {2}
+def test_single_missed_health_check_migrates_nothing_and_is_retried_at_once() -> None:
+    harness = harness_with_connections()
+    assert harness.handle(health_check_failed(2)) == [CheckHealth(2)]
+    assert migrated_requests(harness.handle(health_check_failed(2))) == {2}
 
 
-def test_a_server_without_our_connections_is_not_asked_again() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    assert actions_of_type(world.handle(missed(2)), CheckHealth) == []
+def test_missed_health_check_is_not_retried_without_connections_at_the_endpoint() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    assert actions_of_type(harness.handle(health_check_failed(2)), CheckHealth) == []
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_zone_is_given_up_as_one_and_the_other_zone_stays(seed: int) -> None:
-    """One owed line and three missed probes clear a zone of three: 250 ms, not seconds for each."""
-    world = settled(seed)
-    world.handle(owed(4))
-    got = world.handle(missed(4))
-    assert moves(got) == {4} and actions_of_type(got, CheckHealth) == [CheckHealth(5), CheckHealth(6)]
-    assert moves(world.handle(missed(5))) == {5} and moves(world.handle(missed(6))) == {6}
-    assert moves(world.handle(missed(1))) == set()
-
-
-def test_of_a_silent_zone_one_that_answers_is_kept() -> None:
-    world = settled()
-    world.handle(owed(4))
-    world.handle(missed(4))
-    world.handle(HealthCheckCompleted(5, AttemptResult.SERVED, MS))
-    assert moves(world.handle(missed(6))) == {6}
-
-
-def test_a_zone_that_is_back_needs_two_signs_again() -> None:
-    for back in (
-        [HealthCheckCompleted(server, AttemptResult.SERVED, MS) for server in FAR],
+def test_stalled_endpoint_triggers_checks_of_its_zone_and_the_other_zone_is_unaffected(seed: int) -> None:
+    """One overdue response and three missed health checks migrate a zone of three endpoints.
+
+    This takes 250 ms, instead of seconds for each endpoint.
+    """
+    harness = harness_with_connections(seed)
+    harness.handle(response_overdue(4))
+    actions = harness.handle(health_check_failed(4))
+    assert migrated_requests(actions) == {4} and actions_of_type(actions, CheckHealth) == [
+        CheckHealth(5),
+        CheckHealth(6),
+    ]
+    assert migrated_requests(harness.handle(health_check_failed(5))) == {5} and migrated_requests(
+        harness.handle(health_check_failed(6))
+    ) == {6}
+    assert migrated_requests(harness.handle(health_check_failed(1))) == set()
+
+
+def test_endpoint_of_a_stalled_zone_that_answers_keeps_its_connections() -> None:
+    harness = harness_with_connections()
+    harness.handle(response_overdue(4))
+    harness.handle(health_check_failed(4))
+    harness.handle(HealthCheckCompleted(5, AttemptResult.SERVED, MS))
+    assert migrated_requests(harness.handle(health_check_failed(6))) == {6}
+
+
+def test_recovered_zone_needs_two_signs_of_a_stall_again() -> None:
+    for recovery_events in (
+        [HealthCheckCompleted(endpoint, AttemptResult.SERVED, MS) for endpoint in REMOTE_ENDPOINTS],
         [
             EndpointListUpdate(
-                ListUpdateKind.DELTA, tuple(endpoint_entry(it, zone=1, started_ns=S) for it in FAR)
+                ListUpdateKind.DELTA,
+                tuple(endpoint_entry(it, zone=1, started_ns=S) for it in REMOTE_ENDPOINTS),
             )
         ],
     ):
-        world = settled()
-        world.handle(owed(4))
-        world.handle(missed(4))
-        for event in back:
-            world.handle(event)
-        assert moves(world.handle(missed(5))) == set()
+        harness = harness_with_connections()
+        harness.handle(response_overdue(4))
+        harness.handle(health_check_failed(4))
+        for event in recovery_events:
+            harness.handle(event)
+        assert migrated_requests(harness.handle(health_check_failed(5))) == set()
 
 
-def test_where_probes_are_not_allowed_an_owed_line_changes_nothing() -> None:
-    world = BalancerHarness(replace(BALANCER_SETTINGS, health_checks_enabled=False), endpoint_entry(1))
-    world.establish_request()
-    assert world.handle(owed(1)) == []
+def test_overdue_response_has_no_effect_if_health_checks_are_disabled() -> None:
+    harness = BalancerHarness(replace(BALANCER_SETTINGS, health_checks_enabled=False), endpoint_entry(1))
+    harness.establish_request()
+    assert harness.handle(response_overdue(1)) == []
 
 
-def test_what_is_unknown_or_off_is_not_asked() -> None:
-    world = settled()
-    assert world.handle(owed(99)) == []
-    world.handle(
+def test_overdue_response_of_an_unknown_or_draining_endpoint_triggers_no_health_check() -> None:
+    harness = harness_with_connections()
+    assert harness.handle(response_overdue(99)) == []
+    harness.handle(
         EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2, status=EndpointStatus.DRAINING),))
     )
-    assert actions_of_type(world.handle(owed(2)), CheckHealth) == []
+    assert actions_of_type(harness.handle(response_overdue(2)), CheckHealth) == []
