--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The four rules, as one balancer can keep them."""
+"""Tests the lifecycle of a request in one balancer: final answers, retries, the endpoint list and limits."""
 
 from dataclasses import replace
 
@@ -33,95 +33,99 @@
 from puffinpost.balancing.settings import DeduplicationScope, Idempotency
 
 
-def answers(actions: list[Action]) -> list[Action]:
+def final_answers(actions: list[Action]) -> list[Action]:
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def test_one_answer_at_the_deadline_of_a_silent_server() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1))
-    world.send_request()
-    got = world.advance(3 * S)
-    assert len(answers(got)) == 1
-    assert actions_of_type(got, StartAttempt) == []
-    assert world.end_attempt(world.last_request, 0, 1, AttemptResult.TIMEOUT) == []
-    assert world.balancer.state.requests == {}
+def test_one_final_answer_is_sent_at_the_deadline_if_the_endpoint_does_not_respond() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1))
+    harness.send_request()
+    actions = harness.advance(3 * S)
+    assert len(final_answers(actions)) == 1
+    assert actions_of_type(actions, StartAttempt) == []
+    assert harness.end_attempt(harness.last_request, 0, 1, AttemptResult.TIMEOUT) == []
+    assert harness.balancer.state.requests == {}
 
 
-def test_a_failed_attempt_goes_to_another_server_until_the_cap() -> None:
-    world = BalancerHarness()
-    server = single_action(world.send_request(), StartAttempt).endpoint
-    seen = [server]
+def test_failed_attempts_are_retried_at_other_endpoints_up_to_the_limit() -> None:
+    harness = BalancerHarness()
+    endpoint = single_action(harness.send_request(), StartAttempt).endpoint
+    attempted_endpoints = [endpoint]
     for attempt in range(3):
-        server = single_action(
-            world.end_attempt(1, attempt, server, AttemptResult.CONNECT_FAILED), StartAttempt
+        endpoint = single_action(
+            harness.end_attempt(1, attempt, endpoint, AttemptResult.CONNECT_FAILED), StartAttempt
         ).endpoint
-        seen.append(server)
-    assert sorted(seen[:3]) == [1, 2, 3]
-    last = world.end_attempt(1, 3, server, AttemptResult.CONNECT_FAILED)
-    assert [type(answer) for answer in answers(last)] == [Reject]
-
-
-def test_unsafe_is_not_repeated_once_it_may_have_run() -> None:
-    world = BalancerHarness(with_request_class(idempotency=Idempotency.NOT_IDEMPOTENT))
-    send = single_action(world.send_request(), StartAttempt)
-    assert send.timeout_ns == 2 * S  # no early time-out: it could not be tried again
-    again = single_action(world.end_attempt(1, 0, send.endpoint, AttemptResult.REJECTED), StartAttempt)
-    assert answers(world.end_attempt(1, 1, again.endpoint, AttemptResult.RESET)) == [Fail(1)]
+        attempted_endpoints.append(endpoint)
+    assert sorted(attempted_endpoints[:3]) == [1, 2, 3]
+    last_actions = harness.end_attempt(1, 3, endpoint, AttemptResult.CONNECT_FAILED)
+    assert [type(answer) for answer in final_answers(last_actions)] == [Reject]
+
+
+def test_request_that_is_not_idempotent_is_not_retried_once_it_may_have_been_executed() -> None:
+    harness = BalancerHarness(with_request_class(idempotency=Idempotency.NOT_IDEMPOTENT))
+    attempt_action = single_action(harness.send_request(), StartAttempt)
+    assert attempt_action.timeout_ns == 2 * S  # no early timeout, since the request could not be retried
+    retry = single_action(
+        harness.end_attempt(1, 0, attempt_action.endpoint, AttemptResult.REJECTED), StartAttempt
+    )
+    assert final_answers(harness.end_attempt(1, 1, retry.endpoint, AttemptResult.RESET)) == [Fail(1)]
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL, DeduplicationScope.ALL])
-def test_keyed_is_repeated_within_its_group_and_window_only(scope: DeduplicationScope) -> None:
-    lines = (
+def test_keyed_request_is_retried_only_within_its_deduplication_scope_and_window(
+    scope: DeduplicationScope,
+) -> None:
+    entries = (
         endpoint_entry(1, zone=0, group=1),
         endpoint_entry(2, zone=0, group=1),
         endpoint_entry(3, zone=1, group=2),
     )
-    world = BalancerHarness(
-        with_request_class(idempotency=Idempotency.KEYED, deduplication_scope=scope), *lines
+    harness = BalancerHarness(
+        with_request_class(idempotency=Idempotency.KEYED, deduplication_scope=scope), *entries
     )
-    first = single_action(world.send_request(), StartAttempt).endpoint
-    world.report_load(3, 0.0, 0.0)  # the best score is outside the group of servers 1 and 2
-    second = actions_of_type(world.end_attempt(1, 0, first, AttemptResult.ERROR), StartAttempt)
+    first = single_action(harness.send_request(), StartAttempt).endpoint
+    harness.report_load(3, 0.0, 0.0)  # the best score is outside the scope of endpoints 1 and 2
+    second = actions_of_type(harness.end_attempt(1, 0, first, AttemptResult.ERROR), StartAttempt)
     if scope is not DeduplicationScope.ALL:
-        assert all((send.endpoint == 3) == (first == 3) for send in second)
-    world.now_ns += 2 * S
-    late = world.end_attempt(1, 1, second[0].endpoint, AttemptResult.ERROR) if second else []
-    assert actions_of_type(late, StartAttempt) == []
-    wanted = Reject if scope is DeduplicationScope.ALL else Fail
-    assert second == [] or isinstance(answers(late)[0], wanted)
+        assert all((attempt_action.endpoint == 3) == (first == 3) for attempt_action in second)
+    harness.now_ns += 2 * S
+    late_actions = harness.end_attempt(1, 1, second[0].endpoint, AttemptResult.ERROR) if second else []
+    assert actions_of_type(late_actions, StartAttempt) == []
+    expected_type = Reject if scope is DeduplicationScope.ALL else Fail
+    assert second == [] or isinstance(final_answers(late_actions)[0], expected_type)
 
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_nothing_new_goes_to_a_server_told_down(status: EndpointStatus) -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, status=status),)))
+def test_endpoint_that_is_draining_or_removed_gets_no_new_requests(status: EndpointStatus) -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    harness.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, status=status),)))
     for _ in range(20):
-        assert single_action(world.send_request(), StartAttempt).endpoint == 2
+        assert single_action(harness.send_request(), StartAttempt).endpoint == 2
 
 
-def test_a_server_missing_from_a_full_list_is_gone() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    world.handle(EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(2),)))
-    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(9)} == {2}
+def test_endpoint_missing_from_a_full_list_gets_no_new_requests() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    harness.handle(EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(2),)))
+    assert {single_action(harness.send_request(), StartAttempt).endpoint for _ in range(9)} == {2}
 
 
-def test_nothing_to_send_to_is_held_then_refused() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1, status=EndpointStatus.DRAINING))
-    assert actions_of_type(world.send_request(), StartAttempt) == []
-    got = world.advance(3 * S)
-    assert [type(answer) for answer in answers(got)] == [Reject]
-    assert world.balancer.state.requests == {} and world.balancer.request_lifecycle.queue == {}
+def test_request_without_an_available_endpoint_is_queued_then_rejected() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1, status=EndpointStatus.DRAINING))
+    assert actions_of_type(harness.send_request(), StartAttempt) == []
+    actions = harness.advance(3 * S)
+    assert [type(answer) for answer in final_answers(actions)] == [Reject]
+    assert harness.balancer.state.requests == {} and harness.balancer.request_lifecycle.queue == {}
 
 
-def test_a_held_request_goes_out_when_a_server_comes() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1, status=EndpointStatus.DRAINING))
-    world.send_request()
-    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2),)))
-    assert single_action(world.advance(300 * MS), StartAttempt).endpoint == 2
+def test_queued_request_is_sent_when_an_endpoint_becomes_available() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1, status=EndpointStatus.DRAINING))
+    harness.send_request()
+    harness.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2),)))
+    assert single_action(harness.advance(300 * MS), StartAttempt).endpoint == 2
 
 
-def test_events_for_what_is_unknown_change_nothing() -> None:
-    world = BalancerHarness()
+def test_events_for_unknown_requests_or_endpoints_have_no_effect() -> None:
+    harness = BalancerHarness()
     for event in (
         AttemptEstablished(99, 0, 1, MS),
         AttemptEnded(99, 0, 7, AttemptResult.TIMEOUT, False, MS),
@@ -132,49 +136,58 @@
         HealthCheckCompleted(7, AttemptResult.SERVED, MS, (1.0,)),
         RequestReceived(98, 40, START_NS + S),
     ):
-        assert world.handle(event) == []
-    assert world.balancer.state.requests == {}
+        assert harness.handle(event) == []
+    assert harness.balancer.state.requests == {}
 
 
-def test_a_client_that_leaves_is_owed_nothing() -> None:
-    world = BalancerHarness()
-    send = single_action(world.send_request(), StartAttempt)
-    assert answers(world.handle(ClientDisconnected(1))) == []
-    assert world.end_attempt(1, 0, send.endpoint, AttemptResult.TIMEOUT) == []
-    assert answers(world.advance(3 * S)) == []
-    assert world.balancer.state.requests == {}
+def test_request_of_a_client_that_disconnected_gets_no_final_answer() -> None:
+    harness = BalancerHarness()
+    attempt_action = single_action(harness.send_request(), StartAttempt)
+    assert final_answers(harness.handle(ClientDisconnected(1))) == []
+    assert harness.end_attempt(1, 0, attempt_action.endpoint, AttemptResult.TIMEOUT) == []
+    assert final_answers(harness.advance(3 * S)) == []
+    assert harness.balancer.state.requests == {}
 
 
-def test_memory_does_not_grow_with_what_is_over() -> None:
-    world = BalancerHarness()
+def test_finished_requests_leave_no_state() -> None:
+    harness = BalancerHarness()
     for _ in range(200):
-        send = world.establish_request()
-        world.end_attempt(world.last_request, 0, send.endpoint, AttemptResult.SERVED, finished=True)
-    assert world.balancer.state.requests == {}
+        attempt_action = harness.establish_request()
+        harness.end_attempt(
+            harness.last_request, 0, attempt_action.endpoint, AttemptResult.SERVED, finished=True
+        )
+    assert harness.balancer.state.requests == {}
     assert all(
-        not server.requests and server.local_load == 0 for server in world.balancer.state.endpoints.values()
+        not endpoint.requests and endpoint.local_load == 0
+        for endpoint in harness.balancer.state.endpoints.values()
     )
 
 
-def test_together_the_balancers_keep_a_cold_server_within_its_budget() -> None:
-    many = 50
-    sent = 0
-    for seed in range(many):
-        world = BalancerHarness(
-            replace(BALANCER_SETTINGS, balancer_count=many), endpoint_entry(1), endpoint_entry(2), seed=seed
+def test_balancers_together_keep_to_the_connection_rate_of_an_endpoint_that_is_warming_up() -> None:
+    balancer_count = 50
+    attempt_count = 0
+    for seed in range(balancer_count):
+        harness = BalancerHarness(
+            replace(BALANCER_SETTINGS, balancer_count=balancer_count),
+            endpoint_entry(1),
+            endpoint_entry(2),
+            seed=seed,
         )
-        for server in (1, 2):
-            world.report_load(server, 0.5, 0.0)
+        for endpoint in (1, 2):
+            harness.report_load(endpoint, 0.5, 0.0)
         for _ in range(3):
-            world.establish_request()
-        world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(3, started_ns=world.now_ns),)))
+            harness.establish_request()
+        harness.handle(
+            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(3, started_ns=harness.now_ns),))
+        )
         for _ in range(40):
-            world.advance(100 * MS)
-            sent += single_action(world.send_request(), StartAttempt).endpoint == 3
-    # Connections fill one server at the number held on two half full; 1/20 of that a second fills it over its
-    # warm-up. At the start it can take a fifth of that, three times over before it falls; 4 s were played.
-    full = many * 43
-    assert 0 < sent <= full / 20 * 0.36 * 3 * 4
+            harness.advance(100 * MS)
+            attempt_count += single_action(harness.send_request(), StartAttempt).endpoint == 3
+    # The connections on two endpoints that are half full would fill one endpoint, and 1/20 of them per second
+    # fills it during its warm-up. At first it accepts a fifth of that rate, and fails at three times as much.
+    # The simulation runs for 4 s.
+    full_connections = balancer_count * 43
+    assert 0 < attempt_count <= full_connections / 20 * 0.36 * 3 * 4
 
 
 @pytest.mark.parametrize(
@@ -191,6 +204,6 @@
         ("over_quota_weight", 2.0),
     ],
 )
-def test_settings_that_cannot_be_right_are_named(field: str, value: object) -> None:
+def test_invalid_setting_is_named_in_the_error(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         replace(BALANCER_SETTINGS, **{field: value})  # type: ignore[arg-type]
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Groups that pay at each server, tenants over their share, and who gives way: decisions, no sockets."""
+"""Tests tenant quotas, placement of groups, and which connections are migrated first, without sockets."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     Tenant(quota_share=0.5, quota_connections=60.0),
     Tenant(quota_share=0.5, quota_connections=60.0),
 )
-GROUPS = replace(
+GROUP_SETTINGS = replace(
     BALANCER_SETTINGS,
     balancer_count=NODES,
     zone_count=1,
@@ -44,169 +44,185 @@
     max_attempts=5,
     load_report_fields=("x0",),
 )
-SHARED = replace(GROUPS, groups_share_work=False, tenants=TENANTS, over_quota_weight=0.1)
-ROOM = 50  # connections that fill one of the servers
+QUOTA_SETTINGS = replace(GROUP_SETTINGS, groups_share_work=False, tenants=TENANTS, over_quota_weight=0.1)
+ENDPOINT_CAPACITY = 50  # connections that fill one endpoint
 
 
-class Fleet:
-    """Nodes, and four servers that report what they hold; a connection lives for ten seconds."""
+class SimulatedFleet:
+    """Nodes, and four endpoints that report their load; a connection is closed after ten seconds."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.nodes = [
             BalancerHarness(
-                replace(settings, balancer_index=me), *map(endpoint_entry, range(1, 5)), seed=seed * 100 + me
+                replace(settings, balancer_index=index),
+                *map(endpoint_entry, range(1, 5)),
+                seed=seed * 100 + index,
             )
-            for me in range(NODES)
+            for index in range(NODES)
         ]
-        self.chance = random.Random(seed)
-        self.open: dict[tuple[int, int], tuple[int, int, int]] = {}  # server, tenant, until when
-        self.asked: dict[tuple[int, int], int] = {}
-        self.stood: Counter[int] = Counter()
-        self.pairs: set[tuple[int, int]] = set()
-        self.refused_ns: list[int] = []
-
-    def load(self, server: int) -> float:
-        return sum(at == server for at, _, _ in self.open.values()) / ROOM
-
-    def do(self, number: int, actions: list[Action], now: int) -> None:
+        self.random = random.Random(seed)
+        # Endpoint, tenant and closing time, by node and request.
+        self.open_connections: dict[tuple[int, int], tuple[int, int, int]] = {}
+        self.requests: dict[tuple[int, int], int] = {}
+        self.established: Counter[int] = Counter()
+        self.group_endpoints: set[tuple[int, int]] = set()
+        self.rejected_ns: list[int] = []
+
+    def load(self, endpoint: int) -> float:
+        return sum(at == endpoint for at, _, _ in self.open_connections.values()) / ENDPOINT_CAPACITY
+
+    def apply_actions(self, number: int, actions: list[Action], now_ns: int) -> None:
         node = self.nodes[number]
         for action in actions:
             if isinstance(action, CheckHealth):
                 answer = HealthCheckCompleted(
                     action.endpoint, AttemptResult.SERVED, MS, (self.load(action.endpoint),)
                 )
-                self.do(number, node.handle(answer), now)
+                self.apply_actions(number, node.handle(answer), now_ns)
             elif isinstance(action, StartAttempt):
-                group, tenant = divmod(self.asked[number, action.request], 10)
-                self.open[number, action.request] = (action.endpoint, tenant, now + 10 * S)
-                self.stood[tenant] += 1
-                self.pairs.add((group, action.endpoint))
-                self.do(
-                    number, node.handle(AttemptEstablished(action.request, 0, action.endpoint, 5 * MS)), now
+                group, tenant = divmod(self.requests[number, action.request], 10)
+                self.open_connections[number, action.request] = (action.endpoint, tenant, now_ns + 10 * S)
+                self.established[tenant] += 1
+                self.group_endpoints.add((group, action.endpoint))
+                self.apply_actions(
+                    number,
+                    node.handle(AttemptEstablished(action.request, 0, action.endpoint, 5 * MS)),
+                    now_ns,
                 )
             elif isinstance(action, Migrate):
-                self.end(number, action.request)
+                self.end_connection(number, action.request)
             elif isinstance(action, Reject):
-                self.refused_ns.append(now)
+                self.rejected_ns.append(now_ns)
 
-    def end(self, number: int, request: int) -> None:
-        server = self.open.pop((number, request))[0]
-        self.nodes[number].end_attempt(request, 0, server, AttemptResult.SERVED, finished=True)
+    def end_connection(self, number: int, request: int) -> None:
+        endpoint = self.open_connections.pop((number, request))[0]
+        self.nodes[number].end_attempt(request, 0, endpoint, AttemptResult.SERVED, finished=True)
 
-    def second(self, arrivals: dict[int, int], groups: int = 1) -> None:
-        """One second with so many arrivals of each tenant."""
-        coming = [tenant for tenant, count in arrivals.items() for _ in range(count)]
-        self.chance.shuffle(coming)
-        step = S // 50
+    def run_second(self, arrivals: dict[int, int], groups: int = 1) -> None:
+        """Simulates one second; ``arrivals``: the number of new requests by tenant."""
+        tenants = [tenant for tenant, count in arrivals.items() for _ in range(count)]
+        self.random.shuffle(tenants)
+        step_ns = S // 50
         for tick in range(50):
             for number, node in enumerate(self.nodes):
-                self.tick(number, node, step)
-            for key in [it for it, (_, _, until) in self.open.items() if until <= self.nodes[0].now_ns]:
-                self.end(*key)
-            for tenant in coming[tick::50]:
-                number = self.chance.randrange(NODES)
-                self.ask(number, tenant, self.chance.randrange(1, groups + 1))
-
-    def tick(self, number: int, node: BalancerHarness, step: int) -> None:
-        end = node.now_ns + step
-        while node.timers and min(node.timers)[0] <= end:
-            due = min(node.timers)
-            node.timers.remove(due)
-            node.now_ns = max(node.now_ns, due[0])
-            self.do(number, node.handle(TimerFired(due[2])), node.now_ns)
-        node.now_ns = end
-
-    def ask(self, number: int, tenant: int, group: int) -> None:
+                self.advance_node(number, node, step_ns)
+            for key in [
+                it
+                for it, (_, _, closes_ns) in self.open_connections.items()
+                if closes_ns <= self.nodes[0].now_ns
+            ]:
+                self.end_connection(*key)
+            for tenant in tenants[tick::50]:
+                number = self.random.randrange(NODES)
+                self.send_request(number, tenant, self.random.randrange(1, groups + 1))
+
+    def advance_node(self, number: int, node: BalancerHarness, step_ns: int) -> None:
+        end_ns = node.now_ns + step_ns
+        while node.timers and min(node.timers)[0] <= end_ns:
+            timer = min(node.timers)
+            node.timers.remove(timer)
+            node.now_ns = max(node.now_ns, timer[0])
+            self.apply_actions(number, node.handle(TimerFired(timer[2])), node.now_ns)
+        node.now_ns = end_ns
+
+    def send_request(self, number: int, tenant: int, group: int) -> None:
         node = self.nodes[number]
         node.last_request, node.next_request = node.next_request, node.next_request + 1
-        self.asked[number, node.last_request] = tenant + 10 * group
+        self.requests[number, node.last_request] = tenant + 10 * group
         request = RequestReceived(node.last_request, 0, node.now_ns + 2 * S, tenant=tenant, group=group)
-        self.do(number, node.handle(request), node.now_ns)
+        self.apply_actions(number, node.handle(request), node.now_ns)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_flood_takes_no_room_of_the_one_inside_its_share(seed: int) -> None:
-    calm, flood = Fleet(SHARED, seed), Fleet(SHARED, seed)
+def test_tenant_over_quota_takes_no_capacity_from_a_tenant_within_its_quota(seed: int) -> None:
+    normal_fleet, surge_fleet = SimulatedFleet(QUOTA_SETTINGS, seed), SimulatedFleet(QUOTA_SETTINGS, seed)
     for second in range(20):
-        calm.second({0: 5, 1: 5})
-        flood.second({0: 5, 1: 30 if 5 <= second < 15 else 5})
-    # Six times its share for ten seconds: the other's served part stays within a twentieth.
-    assert flood.stood[0] > calm.stood[0] - 0.05 * 100
-    # What room there is it gets: more than its share, less than what it asked for.
-    assert 1.15 * calm.stood[1] < flood.stood[1] < 300
+        normal_fleet.run_second({0: 5, 1: 5})
+        surge_fleet.run_second({0: 5, 1: 30 if 5 <= second < 15 else 5})
+    # One tenant sends six times its quota for ten seconds: the other loses at most a twentieth.
+    assert surge_fleet.established[0] > normal_fleet.established[0] - 0.05 * 100
+    # The tenant gets unused capacity: more than its quota, but less than it requested.
+    assert 1.15 * normal_fleet.established[1] < surge_fleet.established[1] < 300
 
 
-def test_a_tenant_over_its_share_is_refused_at_once_where_room_is_short() -> None:
-    node = BalancerHarness(replace(SHARED, balancer_count=1), endpoint_entry(1), endpoint_entry(2))
+def test_tenant_over_quota_is_rejected_at_once_if_capacity_is_scarce() -> None:
+    node = BalancerHarness(replace(QUOTA_SETTINGS, balancer_count=1), endpoint_entry(1), endpoint_entry(2))
     for _ in range(68):
         node.last_request, node.next_request = node.next_request, node.next_request + 1
         node.handle(
             ConnectionAdopted(RequestReceived(node.last_request, 0, node.now_ns + 2 * S, tenant=1), 1)
         )
-    for server in (1, 2):
-        node.report_load(server, 0.7)
+    for endpoint in (1, 2):
+        node.report_load(endpoint, 0.7)
     node.advance(S)
-    for server in (1, 2):
-        node.report_load(server, 0.7)
+    for endpoint in (1, 2):
+        node.report_load(endpoint, 0.7)
     assert actions_of_type(node.send_request(tenant=1), Reject) != []
     assert actions_of_type(node.send_request(tenant=0), StartAttempt) != []
 
 
-class Heard(Fleet):
-    """The same nodes, each of which hears twice a second what the others hold."""
+class GossipingFleet(SimulatedFleet):
+    """The same nodes; each receives the other nodes' connections by gossip after each second."""
 
-    def second(self, arrivals: dict[int, int], groups: int = 1) -> None:
-        super().second(arrivals, groups)
-        held = [node.balancer.state.tenant_quotas.connections for node in self.nodes]
+    def run_second(self, arrivals: dict[int, int], groups: int = 1) -> None:
+        super().run_second(arrivals, groups)
+        connections_by_node = [node.balancer.state.tenant_quotas.connections for node in self.nodes]
         for number, node in enumerate(self.nodes):
-            others = tuple(
-                float(sum(it[tenant] for at, it in enumerate(held) if at != number))
+            peer_connections = tuple(
+                float(sum(it[tenant] for at, it in enumerate(connections_by_node) if at != number))
                 for tenant in range(len(TENANTS))
             )
-            node.handle(GossipState((), others))
+            node.handle(GossipState((), peer_connections))
 
 
-def test_who_comes_to_one_node_alone_has_its_whole_share_where_the_others_are_heard() -> None:
-    stood = []
-    for fleet in (Fleet(SHARED, 1), Heard(SHARED, 1)):
-        fleet.chance.randrange = lambda *told: 0 if told == (NODES,) else 1  # type: ignore[method-assign]
+def test_tenant_on_a_single_node_has_its_whole_quota_if_peers_gossip() -> None:
+    established = []
+    for fleet in (SimulatedFleet(QUOTA_SETTINGS, 1), GossipingFleet(QUOTA_SETTINGS, 1)):
+        fleet.random.randrange = lambda *args: 0 if args == (NODES,) else 1  # type: ignore[method-assign]
         for _ in range(12):
-            fleet.second({0: 9, 1: 5})  # all to the first node: 50 of 60 and 90, for 100 places
-        stood.append(fleet.stood[1])
-    assert stood[1] == 60 and stood[0] < 50  # taken for over at 15 of its 60 otherwise
+            # All arrive at the first node: 50 connections of a quota of 60, and 90, for a capacity of 100.
+            fleet.run_second({0: 9, 1: 5})
+        established.append(fleet.established[1])
+    # Without gossip, the tenant counts as over quota at 15 of its 60 connections.
+    assert established[1] == 60 and established[0] < 50
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_flood_over_its_share_gives_way_no_less_where_the_others_are_heard(seed: int) -> None:
-    calm, flood = Heard(SHARED, seed), Heard(SHARED, seed)
+def test_tenant_over_quota_takes_no_capacity_from_others_if_peers_gossip(seed: int) -> None:
+    normal_fleet, surge_fleet = GossipingFleet(QUOTA_SETTINGS, seed), GossipingFleet(QUOTA_SETTINGS, seed)
     for second in range(20):
-        calm.second({0: 5, 1: 5})
-        flood.second({0: 5, 1: 30 if 5 <= second < 15 else 5})
-    assert flood.stood[0] > calm.stood[0] - 0.05 * 100
-    assert 1.15 * calm.stood[1] < flood.stood[1] < 300
+        normal_fleet.run_second({0: 5, 1: 5})
+        surge_fleet.run_second({0: 5, 1: 30 if 5 <= second < 15 else 5})
+    assert surge_fleet.established[0] > normal_fleet.established[0] - 0.05 * 100
+    assert 1.15 * normal_fleet.established[1] < surge_fleet.established[1] < 300
 
 
-def placed(settings: Settings, seed: int) -> Fleet:
-    fleet = Fleet(settings, seed)
+def fleet_with_groups(settings: Settings, seed: int) -> SimulatedFleet:
+    fleet = SimulatedFleet(settings, seed)
     for _ in range(8):
-        fleet.second({0: 8}, groups=8)
+        fleet.run_second({0: 8}, groups=8)
     return fleet
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_group_stays_together_where_each_server_pays_for_it(seed: int) -> None:
-    together, spread = placed(GROUPS, seed), placed(replace(GROUPS, groups_share_work=False), seed)
-    assert together.stood[0] == spread.stood[0] == 64
-    # Eight groups: at one server each, at a few a second one. Of four nodes, none talks to another.
-    assert len(together.pairs) <= 12 < 20 < len(spread.pairs)
-    assert max(together.load(server) for server in range(1, 5)) < 1.0
+def test_group_stays_on_few_endpoints_if_its_work_is_done_once_per_endpoint(seed: int) -> None:
+    grouped, spread = (
+        fleet_with_groups(GROUP_SETTINGS, seed),
+        fleet_with_groups(replace(GROUP_SETTINGS, groups_share_work=False), seed),
+    )
+    assert grouped.established[0] == spread.established[0] == 64
+    # Each of the eight groups is on one endpoint, a few on two, though the four nodes do not communicate.
+    assert len(grouped.group_endpoints) <= 12 < 20 < len(spread.group_endpoints)
+    assert max(grouped.load(endpoint) for endpoint in range(1, 5)) < 1.0
 
 
-def test_connections_of_groups_are_not_moved_to_even_out() -> None:
-    moves = []
+def test_connections_of_groups_are_not_migrated_to_balance_load() -> None:
+    migration_counts = []
     for groups in (True, False):
         node = BalancerHarness(
-            replace(GROUPS, groups_share_work=groups, balancer_count=1), endpoint_entry(1), endpoint_entry(2)
+            replace(GROUP_SETTINGS, groups_share_work=groups, balancer_count=1),
+            endpoint_entry(1),
+            endpoint_entry(2),
         )
         for _ in range(40):
             node.last_request, node.next_request = node.next_request, node.next_request + 1
@@ -215,18 +231,20 @@
             )
         node.report_load(2, 0.1)
         node.advance(S)
-        moves.append(len(actions_of_type(node.report_load(1, 0.95), Migrate)))
-    assert moves[0] == 0 < moves[1]
+        migration_counts.append(len(actions_of_type(node.report_load(1, 0.95), Migrate)))
+    assert migration_counts[0] == 0 < migration_counts[1]
 
 
-def test_what_is_worth_least_for_its_load_leaves_first() -> None:
-    """A slow server: two delay notes a second apart show that a part of the work there is too much."""
-    dear, cheap = (
+def test_connections_with_the_lowest_weight_per_load_are_migrated_first() -> None:
+    """Two delay reports, a second apart, show that a fraction of an endpoint's work exceeds its capacity."""
+    high_weight, low_weight = (
         replace(BALANCER_SETTINGS.classes[0], priority_weight=5.0),
         replace(BALANCER_SETTINGS.classes[0], priority_weight=1.0),
     )
     node = BalancerHarness(
-        replace(GROUPS, classes=(dear, cheap), balancer_count=1), endpoint_entry(1), endpoint_entry(2)
+        replace(GROUP_SETTINGS, classes=(high_weight, low_weight), balancer_count=1),
+        endpoint_entry(1),
+        endpoint_entry(2),
     )
     for number in range(20):
         node.last_request, node.next_request = node.next_request, node.next_request + 1
@@ -237,21 +255,21 @@
         )
     node.handle(DelayReported(1, 1, 200 * MS))
     node.now_ns += S
-    moved = actions_of_type(node.handle(DelayReported(1, 1, 700 * MS)), Migrate)
-    assert 2 <= len(moved) <= 10 and all(it.request % 2 == 0 for it in moved)
+    migrations = actions_of_type(node.handle(DelayReported(1, 1, 700 * MS)), Migrate)
+    assert 2 <= len(migrations) <= 10 and all(it.request % 2 == 0 for it in migrations)
 
 
-def test_shares_and_worth_by_their_definitions() -> None:
-    shares = TenantQuotas()
-    shares.connections[1] = 18  # of 15, and a swing of 3.9
-    assert not shares.is_over_quota(1, TENANTS, 4)
-    shares.connections[1] = 19
+def test_quota_and_retained_weight_follow_their_definitions() -> None:
+    quotas = TenantQuotas()
+    quotas.connections[1] = 18  # the share is 15, with a tolerance of 3.9
+    assert not quotas.is_over_quota(1, TENANTS, 4)
+    quotas.connections[1] = 19
     assert (
-        shares.is_over_quota(1, TENANTS, 4)
-        and not shares.is_over_quota(0, TENANTS, 4)
-        and not shares.is_over_quota(2, TENANTS, 4)
+        quotas.is_over_quota(1, TENANTS, 4)
+        and not quotas.is_over_quota(0, TENANTS, 4)
+        and not quotas.is_over_quota(2, TENANTS, 4)
     )
-    assert not shares.is_over_quota(1, (TENANTS[0], replace(TENANTS[1], quota_connections=0.0)), 4)
+    assert not quotas.is_over_quota(1, (TENANTS[0], replace(TENANTS[1], quota_connections=0.0)), 4)
     assert retained_weight(BALANCER_SETTINGS.classes[0], 0.0, 1.0) > retained_weight(
         BALANCER_SETTINGS.classes[0], 1.0, 1.0
     )
@@ -260,15 +278,21 @@
     )
 
 
-def test_a_group_is_scored_where_it_is_and_at_the_first_of_the_others() -> None:
-    here, there = (False, True), (False, False)
-    assert group_spread_candidates([here, here, there, (True, False), there, (True, True)]) == [0, 2, 3, 5]
-    assert group_spread_candidates([]) == [] and group_spread_candidates([there, here, here]) == [0, 1]
+def test_group_is_scored_at_its_endpoints_and_the_first_other_one_of_each_zone() -> None:
+    in_zone, in_other_zone = (False, True), (False, False)
+    assert group_spread_candidates(
+        [in_zone, in_zone, in_other_zone, (True, False), in_other_zone, (True, True)]
+    ) == [0, 2, 3, 5]
+    assert group_spread_candidates([]) == [] and group_spread_candidates(
+        [in_other_zone, in_zone, in_zone]
+    ) == [0, 1]
 
 
-def test_a_placement_of_a_group_is_found_by_all_nodes_alike() -> None:
+def test_all_nodes_place_a_group_on_the_same_endpoint() -> None:
     nodes = [
-        BalancerHarness(replace(GROUPS, balancer_index=me), *map(endpoint_entry, range(1, 9)), seed=me)
-        for me in range(NODES)
+        BalancerHarness(
+            replace(GROUP_SETTINGS, balancer_index=index), *map(endpoint_entry, range(1, 9)), seed=index
+        )
+        for index in range(NODES)
     ]
     assert len({single_action(node.send_request(group=5), StartAttempt).endpoint for node in nodes}) == 1
