--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -28,12 +28,12 @@
     load_report_fields=("x0",),
     zone_crossing_cost=0.01,
 )
-FAULT_START_S = 5  # when the fault begins
+FAULT_START_S = 5
 CONNECT_TIMEOUT_NS = 250 * MS
 
 
 class FaultSimulation:
-    """One node, nine endpoints in three zones and ten requests a second; zone 1 has most capacity."""
+    """One node, nine endpoints in three zones and ten requests a second; zone 1 reports the lowest load."""
 
     def __init__(self, seed: int, failure_fraction: float = 0.0, zone_cut_off: bool = False) -> None:
         self.node = BalancerHarness(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""A budget that many nodes share without talk: the sum of what all use, on a virtual clock."""
+"""Tests a rate limit that many nodes share without coordination: their total, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -21,80 +21,86 @@
 STEP_NS = S // 100
 
 
-def wants(traffic: str, node: int, nodes: int, now_ns: int, chance: random.Random) -> int:
-    """How many connections a node would send in this step."""
+def requested_connections(
+    traffic: str, node: int, nodes: int, now_ns: int, random_source: random.Random
+) -> int:
+    """The number of connections that clients request from a node in this step."""
     if traffic == "idle, then all at once":
         return 3 if now_ns >= 20 * S else 0
-    if traffic == "one in ten has it all":
-        return int(node % 10 == 0) * int(chance.random() < 0.5)
+    if traffic == "one node in ten gets all requests":
+        return int(node % 10 == 0) * int(random_source.random() < 0.5)
     if traffic == "bursts":
         return 2 if now_ns // (2 * S) % 2 == 1 else 0
-    return int(chance.random() < 0.02)
+    return int(random_source.random() < 0.02)
 
 
-def sends(nodes: int, budget: float, traffic: str, seed: int, lapses: bool = True) -> Iterator[int]:
-    """When something is sent. ``budget``: what all may send in a window."""
-    chance = random.Random(seed)
+def attempt_times(
+    nodes: int, budget: float, traffic: str, seed: int, tokens_expire: bool = True
+) -> Iterator[int]:
+    """The times of all attempts. ``budget``: the limit of all nodes together in a window."""
+    random_source = random.Random(seed)
     rate = WARMUP_RATE_FACTOR * budget / WINDOW_NS / nodes
-    held = [chance.random() for _ in range(nodes)]
-    lasts = TOKEN_LIFETIME_FRACTION * WINDOW_NS if lapses else 1e18
+    tokens = [random_source.random() for _ in range(nodes)]
+    lifetime_ns = TOKEN_LIFETIME_FRACTION * WINDOW_NS if tokens_expire else 1e18
     for now_ns in range(0, 30 * S, STEP_NS):
         for node in range(nodes):
-            held[node] = refill(held[node], rate, STEP_NS, lasts)
-            for _ in range(wants(traffic, node, nodes, now_ns, chance)):
-                if held[node] >= 1.0:
-                    held[node] -= 1.0
+            tokens[node] = refill(tokens[node], rate, STEP_NS, lifetime_ns)
+            for _ in range(requested_connections(traffic, node, nodes, now_ns, random_source)):
+                if tokens[node] >= 1.0:
+                    tokens[node] -= 1.0
                     yield now_ns
 
 
-def fullest(times: list[int]) -> int:
-    """The most in any window."""
+def max_in_window(times: list[int]) -> int:
+    """The highest number of attempts in any window."""
     return max((bisect_right(times, at + WINDOW_NS) - number for number, at in enumerate(times)), default=0)
 
 
-TRAFFIC = ("steady", "bursts", "one in ten has it all", "idle, then all at once")
+TRAFFIC = ("steady", "bursts", "one node in ten gets all requests", "idle, then all at once")
 
 
 @pytest.mark.parametrize("traffic", TRAFFIC)
 @pytest.mark.parametrize(("nodes", "seeds"), [(2, 8), (5, 6), (20, 4), (30, 4), (200, 1)])
-def test_the_sum_of_all_keeps_within_what_chance_allows(nodes: int, seeds: int, traffic: str) -> None:
-    """Over N, what the page puts down to chance: 2 x root of N + 2."""
+def test_total_of_all_nodes_stays_within_the_limit_plus_random_variation(
+    nodes: int, seeds: int, traffic: str
+) -> None:
+    """Above the limit N, the documentation allows 2 x sqrt(N) + 2 for random variation."""
     for budget in (2.0, 9.0, 40.0):
         for seed in range(seeds):
-            most = fullest(list(sends(nodes, budget, traffic, seed)))
-            assert most <= budget + 2 * budget**0.5 + 2, (budget, seed)
+            max_count = max_in_window(list(attempt_times(nodes, budget, traffic, seed)))
+            assert max_count <= budget + 2 * budget**0.5 + 2, (budget, seed)
 
 
-def test_without_lapsing_an_idle_fleet_would_push_it_over() -> None:
-    assert fullest(list(sends(30, 9.0, TRAFFIC[3], 1, lapses=False))) >= 30
+def test_idle_fleet_exceeds_the_limit_if_tokens_do_not_expire() -> None:
+    assert max_in_window(list(attempt_times(30, 9.0, TRAFFIC[3], 1, tokens_expire=False))) >= 30
 
 
 @pytest.mark.parametrize("nodes", [1, 5, 30, 200])
-def test_steady_work_gets_what_it_may(nodes: int) -> None:
-    """The law holds back; but not so much that a cold one gets nothing."""
-    sent = len(list(sends(nodes, 40.0, "bursts", 7)))
-    assert sent >= 0.5 * WARMUP_RATE_FACTOR * 40.0 * 10 * 0.5  # half of the windows have bursts
+def test_nodes_use_at_least_half_of_the_allowed_rate_during_bursts(nodes: int) -> None:
+    """The limit must not be so strict that an endpoint that is warming up gets hardly any connections."""
+    attempts = len(list(attempt_times(nodes, 40.0, "bursts", 7)))
+    assert attempts >= 0.5 * WARMUP_RATE_FACTOR * 40.0 * 10 * 0.5  # half of the windows have bursts
 
 
-def test_fractions_are_carried_and_what_was_not_used_lapses() -> None:
-    held = 0.0
+def test_fractions_are_carried_over_and_unused_tokens_expire() -> None:
+    tokens = 0.0
     for _ in range(10):
-        held = refill(held, 0.25e-9, S, 0.0)
-    assert held == pytest.approx(0.5)
+        tokens = refill(tokens, 0.25e-9, S, 0.0)
+    assert tokens == pytest.approx(0.5)
     assert refill(0.9, 0.25e-9, S, 2 * S) == pytest.approx(1.15)
     assert refill(1.15, 0.25e-9, S, 2 * S) == pytest.approx(1.4)
-    assert refill(1.4, 0.25e-9, S, 2 * S) == pytest.approx(0.65)  # it is 2.6 s old
+    assert refill(1.4, 0.25e-9, S, 2 * S) == pytest.approx(0.65)  # the complete token is 2.6 s old
 
 
 @pytest.mark.parametrize("nodes", [2, 30])
-def test_balancers_that_were_idle_do_not_push_a_cold_server_over(nodes: int) -> None:
-    """The real book-keeping: nobody sends for eight seconds, then all would."""
-    sent = []
+def test_idle_balancers_do_not_exceed_the_limit_of_an_endpoint_that_is_warming_up(nodes: int) -> None:
+    """Runs the slow start itself: no balancer sends for eight seconds, then all send as much as they can."""
+    attempts = []
     settings = BALANCER_SETTINGS
-    for me in range(nodes):
-        books = BalancerState(
+    for index in range(nodes):
+        state = BalancerState(
             Settings(
-                balancer_index=me,
+                balancer_index=index,
                 balancer_count=nodes,
                 zone=0,
                 zone_count=1,
@@ -105,19 +111,20 @@
                 warmup_load_multiple=3.0,
                 warmup_window_ns=3 * S,
             ),
-            seed=me,
+            seed=index,
         )
-        capacity = CapacityEstimator(books)
+        capacity = CapacityEstimator(state)
         capacity.connections_per_weight = 10.0
-        cold = SlowStart(capacity)
-        server = EndpointState(EndpointEntry(1, 0, 0, 0, EndpointStatus.READY, 1.0, S))
-        books.now_ns = S
-        cold.on_endpoint_started(server, S, books.random.random())
-        cold.has_capacity(server)
+        slow_start = SlowStart(capacity)
+        endpoint = EndpointState(EndpointEntry(1, 0, 0, 0, EndpointStatus.READY, 1.0, S))
+        state.now_ns = S
+        slow_start.on_endpoint_started(endpoint, S, state.random.random())
+        slow_start.has_capacity(endpoint)
         for step in range(100):
-            books.now_ns = 9 * S + step * S // 100
-            while cold.has_capacity(server):
-                cold.on_attempt_started(server)
-                sent.append(books.now_ns)
-    may = 10.0 / 9 * 3.0 * 3  # the connections that fill it, three times over, in three seconds of nine
-    assert 0 < len(sent) <= may + 2 * may**0.5 + 2
+            state.now_ns = 9 * S + step * S // 100
+            while slow_start.has_capacity(endpoint):
+                slow_start.on_attempt_started(endpoint)
+                attempts.append(state.now_ns)
+    # Three times the rate that fills it during its warm-up of nine seconds, in a window of three seconds.
+    limit = 10.0 / 9 * 3.0 * 3
+    assert 0 < len(attempts) <= limit + 2 * limit**0.5 + 2
