--- a/puffinpost/runtime/cluster_state.py
+++ b/puffinpost/runtime/cluster_state.py
@@ -150,7 +150,7 @@
         now_ns = time.time_ns()
         proposal_id = f"{name}-{now_ns:x}"
         self.cluster.propose(Propose(proposal_id, document, content, name, reason, now_ns // NS_PER_S))
-        log.info("cluster: proposal sent", often=True, id=proposal_id, document=document, reason=reason)
+        log.info("cluster: proposal sent", high_volume=True, id=proposal_id, document=document, reason=reason)
         return proposal_id
 
     # --- settings -------------------------------------------------------------------------------------
@@ -177,7 +177,7 @@
     def apply_bans(self, banned: dict[str, int]) -> None:
         """All nodes ban these endpoints: names, each with when it was banned (Unix time, ns)."""
         ban_file = self.node.ban_file
-        for name in sorted(ban_file.names.keys() ^ banned.keys()):
+        for name in sorted(ban_file.banned_since_ns.keys() ^ banned.keys()):
             try:
                 ban_file.change(name, banned.get(name))
             except OSError as problem:
