--- a/tests/test_balancer_invariants.py
+++ b/tests/test_balancer_invariants.py
@@ -1,4 +1,4 @@
-"""Whatever the settings say within the wire page: the rules hold over drawn events, and nothing fails."""
+"""Property test of the balancer: invariants hold for random events and all settings on the wire page."""
 
 from __future__ import annotations
 
@@ -86,127 +86,136 @@
 )
 
 
-class Rules:
-    """Plays drawn events through the decisions, and holds what they answer against the rules."""
+class InvariantChecker:
+    """Passes random events to a balancer and checks its actions against the invariants."""
 
-    def __init__(self, told: Settings, seed: int) -> None:
-        self.told, self.chance = told, random.Random(seed)
-        self.truth = {number: self.line(number) for number in range(1, 7)}
-        self.out: dict[int, tuple[int, int]] = {}  # attempts out: which, and where
-        self.sent: dict[int, int] = {}
-        self.standing: set[int] = set()
+    def __init__(self, balancer_settings: Settings, seed: int) -> None:
+        self.settings, self.random = balancer_settings, random.Random(seed)
+        self.entries = {number: self.random_entry(number) for number in range(1, 7)}
+        # The number and endpoint of each request's open attempt or connection.
+        self.open_attempts: dict[int, tuple[int, int]] = {}
+        self.attempt_counts: dict[int, int] = {}
+        self.established: set[int] = set()
         self.answered: set[int] = set()
-        self.node = BalancerHarness(told, *self.truth.values(), seed=seed)
-        self.node.now_ns += S
+        self.harness = BalancerHarness(balancer_settings, *self.entries.values(), seed=seed)
+        self.harness.now_ns += S
 
-    def line(self, number: int, status: EndpointStatus = EndpointStatus.READY) -> EndpointEntry:
-        chance, told = self.chance, self.told
+    def random_entry(self, number: int, status: EndpointStatus = EndpointStatus.READY) -> EndpointEntry:
+        random_source, balancer_settings = self.random, self.settings
         return EndpointEntry(
             number,
-            chance.randrange(told.zone_count),
-            chance.randrange(told.endpoint_type_count),
+            random_source.randrange(balancer_settings.zone_count),
+            random_source.randrange(balancer_settings.endpoint_type_count),
             0,
             status,
-            chance.choice([0.05, 1.0, 6.0]),
-            chance.choice([0, self_now(chance)]),
+            random_source.choice([0.05, 1.0, 6.0]),
+            random_source.choice([0, recent_start_ns(random_source)]),
         )
 
     def step(self) -> None:
-        chance = self.chance
-        often: list[Any] = [self.ask, self.wait, self.finish]
-        chance.choice([*often, *often, self.tell, self.note])()
-
-    def give(self, event: Event) -> None:
-        for action in self.node.handle(event):
+        random_source = self.random
+        frequent_steps: list[Any] = [self.send_request, self.advance_clock, self.establish_or_end_attempt]
+        random_source.choice(
+            [*frequent_steps, *frequent_steps, self.update_endpoint_list, self.report_connection]
+        )()
+
+    def handle_event(self, event: Event) -> None:
+        for action in self.harness.handle(event):
             self.check(action)
 
     def check(self, action: Action) -> None:
-        told = self.told
+        balancer_settings = self.settings
         if isinstance(action, StartAttempt):
-            assert action.request not in self.out and action.request not in self.answered
-            assert self.truth[action.endpoint].status is EndpointStatus.READY and action.timeout_ns > 0
-            number = self.sent.get(action.request, 0)
-            assert number < told.max_attempts
-            self.sent[action.request] = number + 1
-            self.out[action.request] = (number, action.endpoint)
+            assert action.request not in self.open_attempts and action.request not in self.answered
+            assert self.entries[action.endpoint].status is EndpointStatus.READY and action.timeout_ns > 0
+            number = self.attempt_counts.get(action.request, 0)
+            assert number < balancer_settings.max_attempts
+            self.attempt_counts[action.request] = number + 1
+            self.open_attempts[action.request] = (number, action.endpoint)
         elif isinstance(action, Reject | Fail):
-            assert action.request not in self.answered and action.request not in self.standing
-            assert not isinstance(action, Reject) or told.sends_retry_after or action.retry_after_ns == 0
+            assert action.request not in self.answered and action.request not in self.established
+            assert (
+                not isinstance(action, Reject)
+                or balancer_settings.sends_retry_after
+                or action.retry_after_ns == 0
+            )
             self.answered.add(action.request)
         elif isinstance(action, Migrate):
-            assert action.request in self.standing
+            assert action.request in self.established
         elif isinstance(action, CheckHealth):
-            assert told.health_checks_enabled
+            assert balancer_settings.health_checks_enabled
             values = [0.0, 0.4, 0.9, 3.0, 50.0, float("nan")]
-            result = self.chance.choice([AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.REJECTED])
-            count = len(told.load_report_fields) if result is AttemptResult.SERVED else 0
-            report = tuple(self.chance.choice(values) for _ in range(count))
-            self.give(HealthCheckCompleted(action.endpoint, result, 2 * MS, report))
+            result = self.random.choice([AttemptResult.SERVED, AttemptResult.TIMEOUT, AttemptResult.REJECTED])
+            count = len(balancer_settings.load_report_fields) if result is AttemptResult.SERVED else 0
+            report = tuple(self.random.choice(values) for _ in range(count))
+            self.handle_event(HealthCheckCompleted(action.endpoint, result, 2 * MS, report))
         elif isinstance(action, CancelAttempt):
-            assert told.cancellation_enabled
-
-    def ask(self) -> None:
-        node, chance = self.node, self.chance
-        node.last_request, node.next_request = node.next_request, node.next_request + 1
-        request_class = chance.randrange(len(self.told.classes))
-        load = chance.choice([None, 0, 100])
-        self.give(
+            assert balancer_settings.cancellation_enabled
+
+    def send_request(self) -> None:
+        harness, random_source = self.harness, self.random
+        harness.last_request, harness.next_request = harness.next_request, harness.next_request + 1
+        request_class = random_source.randrange(len(self.settings.classes))
+        load = random_source.choice([None, 0, 100])
+        self.handle_event(
             RequestReceived(
-                node.last_request,
+                harness.last_request,
                 request_class,
-                node.now_ns + self.told.classes[request_class].deadline_ns,
-                chance.randrange(6),
-                chance.getrandbits(48),
-                chance.randrange(4),
+                harness.now_ns + self.settings.classes[request_class].deadline_ns,
+                random_source.randrange(6),
+                random_source.getrandbits(48),
+                random_source.randrange(4),
                 load,
             )
         )
 
-    def wait(self) -> None:
-        node = self.node
-        end = node.now_ns + self.chance.choice([5, 60, 900]) * MS
-        while node.timers and min(node.timers)[0] <= end:
-            due = min(node.timers)
-            node.timers.remove(due)
-            node.now_ns = max(node.now_ns, due[0])
-            self.give(TimerFired(due[2]))
-        node.now_ns = end
-
-    def finish(self) -> None:
-        if not self.out:
+    def advance_clock(self) -> None:
+        harness = self.harness
+        end_ns = harness.now_ns + self.random.choice([5, 60, 900]) * MS
+        while harness.timers and min(harness.timers)[0] <= end_ns:
+            timer = min(harness.timers)
+            harness.timers.remove(timer)
+            harness.now_ns = max(harness.now_ns, timer[0])
+            self.handle_event(TimerFired(timer[2]))
+        harness.now_ns = end_ns
+
+    def establish_or_end_attempt(self) -> None:
+        if not self.open_attempts:
             return
-        request = self.chance.choice(sorted(self.out))
-        number, server = self.out[request]
-        if request not in self.standing and request not in self.answered and self.chance.random() < 0.6:
-            self.standing.add(request)
-            self.give(AttemptEstablished(request, number, server, 5 * MS))
+        request = self.random.choice(sorted(self.open_attempts))
+        number, endpoint = self.open_attempts[request]
+        if request not in self.established and request not in self.answered and self.random.random() < 0.6:
+            self.established.add(request)
+            self.handle_event(AttemptEstablished(request, number, endpoint, 5 * MS))
             return
-        stood = request in self.standing
-        result = self.chance.choice([it for it in AttemptResult if stood or it is not AttemptResult.SERVED])
-        del self.out[request]
-        self.standing.discard(request)
-        over = stood or request in self.answered
-        if stood:
+        was_established = request in self.established
+        result = self.random.choice(
+            [it for it in AttemptResult if was_established or it is not AttemptResult.SERVED]
+        )
+        del self.open_attempts[request]
+        self.established.discard(request)
+        request_finished = was_established or request in self.answered
+        if was_established:
             self.answered.add(request)
-        self.give(AttemptEnded(request, number, server, result, over, 50 * MS))
+        self.handle_event(AttemptEnded(request, number, endpoint, result, request_finished, 50 * MS))
 
-    def tell(self) -> None:
-        number = self.chance.choice(sorted(self.truth))
-        self.truth[number] = self.line(number, self.chance.choice(list(EndpointStatus)))
-        self.give(EndpointListUpdate(ListUpdateKind.DELTA, (self.truth[number],)))
-        self.give(EndpointListUpdate(ListUpdateKind.FAILED))
+    def update_endpoint_list(self) -> None:
+        number = self.random.choice(sorted(self.entries))
+        self.entries[number] = self.random_entry(number, self.random.choice(list(EndpointStatus)))
+        self.handle_event(EndpointListUpdate(ListUpdateKind.DELTA, (self.entries[number],)))
+        self.handle_event(EndpointListUpdate(ListUpdateKind.FAILED))
 
-    def note(self) -> None:
-        server = self.chance.choice(sorted(self.truth))
-        for request in sorted(self.standing)[:1]:
-            self.give(LoadReported(request, self.chance.choice([0, 1, 10**9])))
-            self.give(DelayReported(request, server, self.chance.choice([0, 100, 5000]) * MS))
-            self.give(ResponseOverdue(request, server, S))
+    def report_connection(self) -> None:
+        endpoint = self.random.choice(sorted(self.entries))
+        for request in sorted(self.established)[:1]:
+            self.handle_event(LoadReported(request, self.random.choice([0, 1, 10**9])))
+            self.handle_event(DelayReported(request, endpoint, self.random.choice([0, 100, 5000]) * MS))
+            self.handle_event(ResponseOverdue(request, endpoint, S))
 
 
-def self_now(chance: random.Random) -> int:
-    """A start not long ago, on the world's clock."""
-    return 5 * S + chance.randrange(S)
+def recent_start_ns(random_source: random.Random) -> int:
+    """A recent start time, on the harness's clock."""
+    return 5 * S + random_source.randrange(S)
 
 
 @settings(
@@ -217,12 +226,15 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(SETTINGS, st.integers(0, 2**32))
-def test_the_rules_hold_whatever_the_settings_say(told: Settings, seed: int) -> None:
-    rules = Rules(told, seed)
+def test_invariants_hold_for_random_settings_and_events(balancer_settings: Settings, seed: int) -> None:
+    checker = InvariantChecker(balancer_settings, seed)
     for _ in range(120):
-        rules.step()
-    until = rules.node.now_ns + 6 * S  # longer than any client waits
-    while rules.node.now_ns < until:
-        rules.wait()
-    # Who has no attempt out has an answer, whoever it was.
-    assert set(range(1, rules.node.next_request)) == rules.answered | set(rules.out) | rules.standing
+        checker.step()
+    end_ns = checker.harness.now_ns + 6 * S  # longer than any deadline
+    while checker.harness.now_ns < end_ns:
+        checker.advance_clock()
+    # Every request without an open attempt has a final answer.
+    assert (
+        set(range(1, checker.harness.next_request))
+        == checker.answered | set(checker.open_attempts) | checker.established
+    )
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -1,4 +1,4 @@
-"""Forty nodes' decisions in one process, on a simulated clock: what is harmless in one and harmful in all."""
+"""Tests decisions that are harmless in one node but harmful in all forty at once, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -39,28 +39,28 @@
 )
 
 
-def fleet(seed: int, *lines: EndpointEntry) -> list[BalancerHarness]:
+def create_fleet(seed: int, *entries: EndpointEntry) -> list[BalancerHarness]:
     return [
-        BalancerHarness(replace(SETTINGS, balancer_index=me), *lines, seed=1000 * seed + me)
-        for me in range(NODES)
+        BalancerHarness(replace(SETTINGS, balancer_index=index), *entries, seed=1000 * seed + index)
+        for index in range(NODES)
     ]
 
 
-def held(node: BalancerHarness, server: int, count: int) -> None:
-    """Connections of a node's at a server, as if they had been there before."""
+def adopt_connections(node: BalancerHarness, endpoint: int, count: int) -> None:
+    """Adds open connections of a node to an endpoint, as if adopted from an earlier process."""
     for _ in range(count):
         node.last_request = node.next_request
         node.next_request += 1
-        node.handle(ConnectionAdopted(RequestReceived(node.last_request, 0, node.now_ns + 4 * S), server))
+        node.handle(ConnectionAdopted(RequestReceived(node.last_request, 0, node.now_ns + 4 * S), endpoint))
 
 
-def drained(seed: int, load_there: float, load_here: float) -> list[int]:
-    """Moves of the fleet in each 100 ms after a drain, by the loads of the one that drains and the other."""
-    nodes = fleet(seed, endpoint_entry(1), endpoint_entry(2))
+def migrations_after_drain(seed: int, draining_load: float, remaining_load: float) -> list[int]:
+    """The fleet's migrations in each 100 ms after a drain, given the loads of both endpoints."""
+    nodes = create_fleet(seed, endpoint_entry(1), endpoint_entry(2))
     for number, node in enumerate(nodes):
-        held(node, 1, 1 + number % 2)
-        node.report_load(1, load_there, 60.0)
-        node.report_load(2, load_here, 60.0)
+        adopt_connections(node, 1, 1 + number % 2)
+        node.report_load(1, draining_load, 60.0)
+        node.report_load(2, remaining_load, 60.0)
         node.handle(
             EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, status=EndpointStatus.DRAINING),))
         )
@@ -68,43 +68,43 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_a_drain_moves_its_connections_in_the_last_aim_that_it_stands_and_not_at_once(seed: int) -> None:
-    slices = drained(seed, 0.3, 0.3)
+def test_drain_migrates_connections_evenly_in_its_last_latency_objective_and_not_before(seed: int) -> None:
+    slices = migrations_after_drain(seed, 0.3, 0.3)
     assert sum(slices[:39]) == 0 and sum(slices[39:49]) >= 57 and sum(slices) == 60
-    # An even spread is 7.5 in 100 ms; four standard deviations over that.
+    # An even spread has 7.5 migrations in 100 ms; the bound is four standard deviations above that.
     assert max(slices) <= 18
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_where_the_others_have_no_room_for_them_nobody_leaves(seed: int) -> None:
-    assert sum(drained(seed, 0.5, 0.4)) == 0
-    assert sum(drained(seed, 0.2, 0.4)) == 60
+def test_drain_migrates_nothing_if_the_other_endpoints_lack_capacity(seed: int) -> None:
+    assert sum(migrations_after_drain(seed, 0.5, 0.4)) == 0
+    assert sum(migrations_after_drain(seed, 0.2, 0.4)) == 60
 
 
 @pytest.mark.parametrize(
-    ("staying", "leaving", "after"),
+    ("remaining", "draining", "expected_load"),
     [
         ([(1.0, 0.5)], [], 0.5),
         ([(2.0, 0.4), (1.0, 0.1)], [(1.5, 0.4)], 0.5),
         ([], [(1.0, 0.5)], 0.0),
-        ([(0.5, 0.2)], [(1.0, 0.5)], 1.2),  # a cold one has half of its capacity
+        ([(0.5, 0.2)], [(1.0, 0.5)], 1.2),  # an endpoint that is warming up has half of its capacity
     ],
 )
-def test_the_load_after_is_all_work_over_what_stays(
-    staying: list[tuple[float, float]],
-    leaving: list[tuple[float, float]],
-    after: float,
+def test_mean_load_after_drain_is_the_total_work_over_the_remaining_capacity(
+    remaining: list[tuple[float, float]],
+    draining: list[tuple[float, float]],
+    expected_load: float,
 ) -> None:
-    assert mean_load_after_drain(staying, leaving) == pytest.approx(after)
+    assert mean_load_after_drain(remaining, draining) == pytest.approx(expected_load)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_mass_start_asks_discovery_evenly_and_soon(seed: int) -> None:
-    """Forty nodes start in one moment: each asks once, evenly over what the six seconds leave."""
+def test_nodes_that_start_together_poll_discovery_soon_and_evenly(seed: int) -> None:
+    """Forty nodes start at once: each polls once, evenly over the time that the six seconds leave."""
     settings = replace(SETTINGS, endpoint_list_is_polled=True)
     nodes = [
-        BalancerHarness(replace(settings, balancer_index=me), endpoint_entry(1), seed=1000 * seed + me)
-        for me in range(NODES)
+        BalancerHarness(replace(settings, balancer_index=index), endpoint_entry(1), seed=1000 * seed + index)
+        for index in range(NODES)
     ]
     calls = [
         sum(len(actions_of_type(node.advance(100 * MS), PollEndpointList)) for node in nodes)
@@ -115,44 +115,46 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 5, 20, 21, 40, 200, 1000])
-@pytest.mark.parametrize("fails", [0, 1, 3, 9, 99])
-def test_who_failed_asks_again_so_soon_that_the_six_seconds_hold(nodes: int, fails: int) -> None:
-    """A rest, then the longest wait in discovery's queue; and not at once, nor all nodes in one moment."""
-    moments = []
+@pytest.mark.parametrize("failures", [0, 1, 3, 9, 99])
+def test_failed_poll_is_retried_within_the_limit_of_six_seconds(nodes: int, failures: int) -> None:
+    """The backoff and discovery's longest queueing time fit in; nodes retry neither at once nor together."""
+    delays_ns = []
     for seed in range(200):
-        asking = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=nodes), random.Random(seed))
-        asking.consecutive_failures = fails
-        asking.on_failure(S)
-        assert asking.next_poll_ns is not None
-        moments.append(asking.next_poll_ns - S)
-    assert max(moments) + 2 * S < 6 * S * 3 // 4 and min(moments) >= 25 * MS
-    if nodes >= 200 or fails >= 9:
-        assert sum(moments) / len(moments) > 1400 * MS  # as much as the six seconds leave
-        assert max(moments) - min(moments) > S
-        slices = [sum(at <= it < at + 200 * MS for it in moments) for at in range(0, 6 * S, 200 * MS)]
+        schedule = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=nodes), random.Random(seed))
+        schedule.consecutive_failures = failures
+        schedule.on_failure(S)
+        assert schedule.next_poll_ns is not None
+        delays_ns.append(schedule.next_poll_ns - S)
+    assert max(delays_ns) + 2 * S < 6 * S * 3 // 4 and min(delays_ns) >= 25 * MS
+    if nodes >= 200 or failures >= 9:
+        assert sum(delays_ns) / len(delays_ns) > 1400 * MS  # as long as the six seconds allow
+        assert max(delays_ns) - min(delays_ns) > S
+        slices = [sum(at <= it < at + 200 * MS for it in delays_ns) for at in range(0, 6 * S, 200 * MS)]
         assert max(slices) < 60  # of two hundred
 
 
-def test_a_small_fleet_shares_nothing_out() -> None:
-    asking = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=20), random.Random(1))
-    assert not asking.is_large_fleet and asking.redirect_delay_ns() == 0
-    asking = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=21), random.Random(1))
-    assert asking.is_large_fleet and len({asking.redirect_delay_ns() for _ in range(50)}) > 40
+def test_small_fleet_does_not_spread_its_polls() -> None:
+    schedule = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=20), random.Random(1))
+    assert not schedule.is_large_fleet and schedule.redirect_delay_ns() == 0
+    schedule = PollSchedule(replace(BALANCER_SETTINGS, balancer_count=21), random.Random(1))
+    assert schedule.is_large_fleet and len({schedule.redirect_delay_ns() for _ in range(50)}) > 40
 
 
-BANNED = EndpointBanChanged(1, True, 0)
-DRAINS = EndpointListUpdate(
+BAN = EndpointBanChanged(1, True, 0)
+DRAIN = EndpointListUpdate(
     ListUpdateKind.DELTA, (endpoint_entry(1, status=EndpointStatus.DRAINING), endpoint_entry(2))
 )
 
 
-@pytest.mark.parametrize(("first", "then"), [(DRAINS, BANNED), (BANNED, DRAINS), (BANNED, BANNED)])
-def test_of_a_drain_and_a_ban_the_sooner_end_holds(first: Event, then: Event) -> None:
+@pytest.mark.parametrize(("first", "then"), [(DRAIN, BAN), (BAN, DRAIN), (BAN, BAN)])
+def test_earlier_deadline_applies_if_an_endpoint_is_both_draining_and_banned(
+    first: Event, then: Event
+) -> None:
     node = BalancerHarness(SETTINGS, endpoint_entry(1))
-    held(node, 1, 200)
+    adopt_connections(node, 1, 200)
     node.handle(first)
-    moved = len(actions_of_type(node.advance(S), Migrate))
-    assert (moved == 0) if first is DRAINS else (20 <= moved < 200)
+    migration_count = len(actions_of_type(node.advance(S), Migrate))
+    assert (migration_count == 0) if first is DRAIN else (20 <= migration_count < 200)
     node.handle(then)
-    by = 2400 * MS if then is BANNED and first is DRAINS else 1400 * MS
-    assert moved + len(actions_of_type(node.advance(by + 50 * MS), Migrate)) == 200
+    remaining_ns = 2400 * MS if then is BAN and first is DRAIN else 1400 * MS
+    assert migration_count + len(actions_of_type(node.advance(remaining_ns + 50 * MS), Migrate)) == 200
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, against frames written out byte by byte."""
+"""Tests the simulator's codec against frames written out byte by byte."""
 
 import struct
 
@@ -53,7 +53,7 @@
     return struct.pack(">IIQ", 16 + len(body), len(records), now) + body
 
 
-def test_an_arrival_is_read_field_by_field() -> None:
+def test_arrival_record_is_decoded_field_by_field() -> None:
     now, items = EventDecoder().decode(frame(ARRIVAL))
     assert now == 8412249
     assert items == [
@@ -66,16 +66,16 @@
     ]
 
 
-def test_a_list_is_read_through_its_number() -> None:
-    line = bytes.fromhex("0a124a071f430000000000013f8000000000000000000000")
-    inventory = struct.pack(">BHII", 110, 0, 0, 1)
-    fleet = struct.pack(">BHHQB", 20, 3, 0, 41, 3)
-    _, items = EventDecoder().decode(frame(inventory, fleet, tail=line))
+def test_endpoint_list_is_decoded_by_its_number() -> None:
+    entry = bytes.fromhex("0a124a071f430000000000013f8000000000000000000000")
+    list_record = struct.pack(">BHII", 110, 0, 0, 1)
+    update_record = struct.pack(">BHHQB", 20, 3, 0, 41, 3)
+    _, items = EventDecoder().decode(frame(list_record, update_record, tail=entry))
     expected = EndpointEntry(0x0A124A071F43, 0, 0, 0, EndpointStatus.READY, 1.0, 0)
     assert items == [(3, EndpointListUpdate(ListUpdateKind.CACHED, (expected,)))]
 
 
-def test_actions_are_written_byte_by_byte() -> None:
+def test_actions_are_encoded_byte_by_byte() -> None:
     reply = encode_actions(
         [
             (3, StartAttempt(0x00010C4E5D3A91C4, 0x0A124A071F43, 80_000_000)),
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "says"),
+    ("raw", "message"),
     [
         (b"\0\0\0\x10", "shorter than its header"),
         (struct.pack(">IIQ", 17, 0, 0), "byte 0: length 17"),
@@ -102,26 +102,26 @@
         (frame(struct.pack(">BHHQB", 20, 3, 7, 1, 2)), "server list 7 was never given"),
     ],
 )
-def test_a_broken_frame_is_named(raw: bytes, says: str) -> None:
-    with pytest.raises(WireError, match=says):
+def test_malformed_frame_raises_an_error_that_names_the_fault(raw: bytes, message: str) -> None:
+    with pytest.raises(WireError, match=message):
         EventDecoder().decode(raw)
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    got = parse_settings(SETTINGS)
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
+    settings = parse_settings(SETTINGS)
     assert (
-        got.balancer_index,
-        got.balancer_count,
-        got.zone,
-        got.zone_count,
-        got.endpoint_list_is_polled,
+        settings.balancer_index,
+        settings.balancer_count,
+        settings.zone,
+        settings.zone_count,
+        settings.endpoint_list_is_polled,
     ) == (2, 3, 1, 2, True)
-    assert got.load_report_fields == ("x0", "concurrent")
-    assert got.classes[0].message_latency_objective_ns == 150_000_000
+    assert settings.load_report_fields == ("x0", "concurrent")
+    assert settings.classes[0].message_latency_objective_ns == 150_000_000
 
 
 @pytest.mark.parametrize("key", ["Classes.0.AimNs", "Rules.ColdFrom", "RoundNs", "Limits.AttemptsCap"])
-def test_a_missing_or_unreadable_setting_is_named(key: str) -> None:
+def test_missing_or_invalid_setting_is_named_in_the_error(key: str) -> None:
     lines = [line for line in SETTINGS.splitlines() if not line.startswith(key)]
     with pytest.raises(ValueError, match=key):
         parse_settings("\n".join(lines))
