--- a/tests/test_drain_rule.py
+++ b/tests/test_drain_rule.py
@@ -113,7 +113,7 @@
 
 
 def test_a_long_backoff_after_a_failure_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As before the limit of 6 s: a failed call was delayed by up to twice the time within which to poll."""
+    """As it was before the limit of 6 s: a failed call was delayed by up to twice the polling time limit."""
     monkeypatch.setattr(
         PollSchedule, "span_ns", lambda schedule, fails: schedule.poll_within_ns if fails else 0
     )
@@ -121,7 +121,7 @@
 
 
 def test_a_long_backoff_after_a_refused_connection_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four times the time within which to poll, as after a failed call, though no call was made."""
+    """Four times the polling time limit, as after a failed call, though no call was made."""
     call_failed = Poller.call_failed
 
     def fail_with_long_backoff(poller: Poller, watch: int, end: CallFailure) -> None:
@@ -146,7 +146,7 @@
 
 
 def fleet_with_late_answer() -> Fleet:
-    """At 5 s node 0 has abandoned a call and backs off after the next one; then the first is answered."""
+    """At 5 s node 0 backs off: it abandoned a call, and the next one failed. Then the first is answered."""
     fleet = Fleet(1, 40, FleetOptions(span_s=25, fault=FleetFault.NONE))
     poller = fleet.nodes[0].poller
 
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -75,7 +75,7 @@
 
 
 def test_promptly_refused_connection_is_not_a_missed_health_check() -> None:
-    """The old list of a node that has just started may have processes that have ended on healthy machines."""
+    """A node that has just started may have an old list, with ended processes on healthy machines."""
     harness = harness_with_connections()
     harness.handle(response_overdue(4))
     for endpoint in REMOTE_ENDPOINTS:
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -180,7 +180,7 @@
     for fleet in (SimulatedFleet(QUOTA_SETTINGS, 1), GossipingFleet(QUOTA_SETTINGS, 1)):
         fleet.random.randrange = lambda *args: 0 if args == (NODES,) else 1  # type: ignore[method-assign]
         for _ in range(12):
-            # All arrive at the first node: 50 connections of a quota of 60, and 90, for a capacity of 100.
+            # All arrive at the first node, for a capacity of 100: 90, and 50 of a quota of 60 connections.
             fleet.run_second({0: 9, 1: 5})
         established.append(fleet.established[1])
     # Without gossip, the tenant counts as over quota at 15 of its 60 connections.
