--- a/puffinpost/frontends/__init__.py
+++ b/puffinpost/frontends/__init__.py
@@ -1,5 +1,5 @@
-"""The protocols in which clients open sessions: the platform's lines, MQTT and XMPP.
+"""The protocols in which clients open sessions: the platform's line protocol, MQTT and XMPP.
 
-Each package translates one protocol to requests of the coordinator and back. None chooses an endpoint or
+Each package translates between one protocol and the coordinator's requests. None chooses an endpoint or
 decides about a retry.
 """
--- a/puffinpost/frontends/handover.py
+++ b/puffinpost/frontends/handover.py
@@ -1,7 +1,7 @@
-"""What a frontend's session gives to the next process of the node during a hot restart.
+"""The state that a frontend's session hands to the successor during a hot restart.
 
-The sessions build it, the runtime sends it. The keys of the messages are fixed: a process of an earlier
-version may be at the other end.
+The sessions build it, the runtime sends it. The keys of the messages are fixed: the other process may be of
+an earlier version.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class SessionHandover(NamedTuple):
-    """A session's state as a JSON-compatible message, and its connections: the client's first."""
+    """A session's state as a JSON-compatible message, and its connections, the client's first."""
 
     message: dict[str, Any]
     connections: list[Connection]
--- a/puffinpost/frontends/line_buffer.py
+++ b/puffinpost/frontends/line_buffer.py
@@ -1,4 +1,4 @@
-"""Lines of a client that wait until its session is established; each session of a line protocol owns one."""
+"""Buffers a client's lines until its session is established. Sessions of line protocols own one each."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         return len(self._data)
 
     def append(self, line: bytes) -> None:
-        """Adds a complete line, its line ending included."""
+        """Adds a complete line, including its line ending."""
         self._data += line
         self.line_count += 1
 
@@ -26,5 +26,5 @@
 
     @property
     def data(self) -> bytes:
-        """All lines as they are sent upstream."""
+        """All lines, in the form in which they are sent upstream."""
         return bytes(self._data)
--- a/puffinpost/frontends/platform/frontend.py
+++ b/puffinpost/frontends/platform/frontend.py
@@ -1,6 +1,7 @@
 """Accepts connections of clients that speak the platform's line protocol.
 
-The listener and the runtime call it. It owns what all its sessions share, and never reads from a connection.
+The listener and the runtime call it. It owns the state that its sessions share, and never reads from a
+connection.
 """
 
 from __future__ import annotations
@@ -29,22 +30,22 @@
         self.connector = connector
         self.admission = admission
         self.draining = False
-        self.buffered_bytes = 0  # of all sessions that are not established yet
+        self.buffered_bytes = 0  # total of the sessions that are not established yet
 
     @property
     def pending_connection_type(self) -> type:
-        """The type under which admission knows this frontend's connections."""
+        """The type of this frontend's pending connections in the admission."""
         return PlatformSession
 
     @property
     def overload_answer(self) -> bytes:
-        """The answer to a client for which there is no capacity."""
+        """The answer to a client that is rejected because the node has no capacity."""
         return lines.busy_response(
             OVERLOAD_RETRY_AFTER_MS if self.coordinator.settings.sends_retry_after else 0
         )
 
     def accept(self, connection: Connection) -> PlatformSession:
-        """Creates the session of a new connection; the caller runs the connection with it."""
+        """Creates the session of a new connection; the caller starts the connection with it as receiver."""
         session = PlatformSession(self, connection)
         self.admission.admit_pending(session)
         return session
@@ -52,10 +53,10 @@
     def adopt_session(
         self, message: dict[str, Any], connection: Connection, upstream: Connection
     ) -> PlatformSession:
-        """Restores a session that another process of this node had established.
+        """Restores a session that the predecessor had established.
 
-        The caller runs both connections. Raises ``KeyError``, ``TypeError`` or ``ValueError`` where the
-        message is not complete.
+        The caller starts both connections. Raises ``KeyError``, ``TypeError`` or ``ValueError`` if the
+        message is incomplete or invalid.
         """
         session = PlatformSession(self, connection)
         exchange = self.coordinator.take_over(message, session)
@@ -64,5 +65,5 @@
         return session
 
     def reject_without_descriptor(self, accepted: socket.socket) -> None:
-        """Answers a connection that was accepted with the spare descriptor and is closed next."""
+        """Answers a connection that was accepted with the spare descriptor; the caller then closes it."""
         accepted.send(self.overload_answer)
--- a/puffinpost/frontends/platform/handover.py
+++ b/puffinpost/frontends/platform/handover.py
@@ -1,6 +1,6 @@
-"""The state of an established platform session as one process of the node hands it to the next.
+"""The state of an established platform session, as it is handed to the successor in a hot restart.
 
-Keys on the handover channel differ from the field names here; only this module knows both.
+The keys on the handover channel differ from the field names here; only this module has both.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformUpstreamState:
-    """An upstream's incomplete line, and the kind of its final line if it has sent one."""
+    """The upstream's incomplete line, and the kind of its final line if it has sent one."""
 
     incomplete_line: bytes
     last_line_kind: LineKind
 
     def to_message(self) -> dict[str, Any]:
-        """The state with the keys of the handover channel."""
+        """Returns the state under the keys of the handover channel."""
         return {"south": self.incomplete_line.hex(), "last": self.last_line_kind.name}
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> PlatformUpstreamState:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the result of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         return cls(bytes.fromhex(message["south"]), LineKind[message["last"]])
 
 
@@ -37,16 +37,16 @@
     upstream: PlatformUpstreamState
 
     def to_message(self) -> dict[str, Any]:
-        """The state with the keys of the handover channel."""
+        """Returns the state under the keys of the handover channel."""
         return {"north": self.incomplete_line.hex(), **self.upstream.to_message()}
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> PlatformSessionState:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the result of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         return cls(bytes.fromhex(message["north"]), PlatformUpstreamState.from_message(message))
 
 
 def restore_incomplete_line(splitter: LineSplitter, incomplete_line: bytes) -> None:
-    """Gives a new splitter the beginning of a line that the earlier process had read."""
+    """Feeds a new splitter the beginning of a line, which the predecessor had read."""
     for _ in splitter.feed(incomplete_line):
-        pass  # complete lines were forwarded by the earlier process
+        pass  # the predecessor has forwarded all complete lines
--- a/puffinpost/frontends/platform/request.py
+++ b/puffinpost/frontends/platform/request.py
@@ -1,6 +1,6 @@
 """Translates an OPEN line of the platform's protocol into a request to the coordinator.
 
-The platform and the MQTT frontend call it for each line that opens a session. It never contacts an endpoint.
+The platform and the MQTT frontends call it for each OPEN line. It never contacts an endpoint.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 def build_session_request(
     coordinator: Coordinator, opening: lines.OpenRequest, client_address: tuple[str, int]
 ) -> SessionRequest:
-    """The request that an OPEN line stands for.
+    """Builds the request of an OPEN line.
 
-    Raises ``LineError`` where the request class is unknown or the client's timeout is out of range.
+    Raises ``LineError`` if the request class is unknown or the client's timeout is out of range.
     """
     request_class = coordinator.class_index(opening.request_class)
     if request_class is None:
         raise lines.LineError(f"class {opening.request_class[:40]!r} is unknown")
-    # A connection that was established before this node started has no such limit: the client that
-    # reopens it may wait for as long as it chooses.
+    # The limit does not apply to a client that reopens a connection which was established before this node
+    # started (``at=``): it may wait for any time.
     if not 0 < opening.wait_ms <= MAX_CLIENT_TIMEOUT_MS and opening.requested_endpoint is None:
         raise lines.LineError(f"d={opening.wait_ms} is no time that a client waits")
     group = opening.group if coordinator.settings.groups_share_work else 0
--- a/puffinpost/frontends/platform/session.py
+++ b/puffinpost/frontends/platform/session.py
@@ -1,7 +1,7 @@
 """One client connection of the platform's line protocol, and the session that is opened on it.
 
-The connection delivers bytes to it, the coordinator asks it for attempts and answers. It never chooses an
-endpoint.
+The connection delivers the client's bytes to it, the coordinator has it start attempts and send answers. It
+never chooses an endpoint.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 if TYPE_CHECKING:
     from puffinpost.frontends.platform.frontend import PlatformFrontend
 
-# Lines that a client sends before its session is established are read and buffered: left in the kernel, they
-# would hide that the client has closed. A usual client writes one line and waits, so each may have the first
-# limit, and up to the second while all sessions together stay below the third. Beyond it the client is
-# answered and its connection closed.
+# Lines that a client sends before its session is established are read and buffered: if they stayed in the
+# kernel, the node would not notice that the client has closed the connection. A usual client sends one line
+# and waits. Each session may therefore buffer up to the first limit, and up to the second while all sessions
+# together stay below the third. A client above its limit is answered and its connection closed.
 MAX_BUFFERED_BYTES = 8 * 1024
 MAX_BUFFERED_BYTES_OF_ONE = 256 * 1024
 MAX_BUFFERED_BYTES_OF_ALL = 4 * 1024 * 1024
-PING_IDLE_TIMEOUT_S = 60.0  # how long a connection may stay after its PONG before it asks again
+PING_IDLE_TIMEOUT_S = 60.0  # how long a connection may be idle after a PONG
 
 
 class PlatformSession:
-    """A client connection, from its first line until it is closed."""
+    """The session of a client connection, from its first line until the connection is closed."""
 
     def __init__(self, frontend: PlatformFrontend, connection: Connection) -> None:
         self.frontend = frontend
@@ -62,21 +62,22 @@
             self._reject_input(str(error))
             return
         if self.is_idle and not self.closed and self.splitter.pending:
-            # Guards against a client that sends a line slowly after a PING: it has the time of a new one.
+            # Guards against a client that sends a line slowly after a PING: the timeout of a new connection
+            # applies to it.
             self.is_idle = False
             self.frontend.admission.admit_pending(self)
 
     def on_input_ended(self) -> None:
-        """The client has half-closed: it may still read its answer. One that closed entirely does not."""
+        """The client has half-closed: it may still read its answer, which it cannot after a full close."""
         if self.closed:
             return
         if self.exchange is not None and not self.exchange.established:
             self.coordinator.client_half_closed(self.exchange)
         elif self.exchange is None and self.splitter.pending:
-            self._reject_input("it ended in the middle of a line")
+            self._reject_input("the input ended in an incomplete line")
 
     def connection_lost(self, reset: bool) -> None:
-        """The client has closed or reset the connection: its upstream ends the same way."""
+        """The client has closed or reset the connection: the upstream connection is closed the same way."""
         self._release()
         if self.exchange is None:
             return
@@ -86,7 +87,7 @@
         self.coordinator.client_disconnected(self.exchange)
 
     def on_internal_error(self) -> None:
-        """An unexpected exception ends the session, with its final answer."""
+        """Ends the session with its final answer after an unexpected exception."""
         if self.exchange is not None:
             self.coordinator.migrate(self.exchange)  # does nothing where it is not established
             self.coordinator.client_disconnected(self.exchange)
@@ -95,7 +96,7 @@
     # AdmittedConnection: called by admission.
 
     def on_timeout(self) -> None:
-        """No complete first line arrived in time. Nothing was started, so the client may safely retry."""
+        """No complete first line arrived in time. No request was started, so the client may safely retry."""
         self._close_with(self.frontend.overload_answer)
 
     # DownstreamClient: called by the coordinator.
@@ -117,17 +118,17 @@
 
     def fail(self, timed_out: bool) -> None:
         """Answers that the request failed."""
-        del timed_out  # the protocol has one answer for both kinds of failure
+        del timed_out  # the protocol has the same answer for both kinds of failure
         self._close_with(lines.FAILED)
 
     def migrate(self) -> None:
-        """Asks the client to reconnect. Only complete lines are ever written, so this falls between two."""
+        """Asks the client to reconnect. Only complete lines are written, so no line is interrupted."""
         self._close_with(lines.MOVE)
 
     # UpstreamListener: called by the upstream of the current attempt.
 
     def on_established(self, response: bytes) -> None:
-        """The endpoint has accepted: forwards its response, and the buffered lines the other way."""
+        """The endpoint has accepted: forwards its response to the client, and the buffered lines upstream."""
         upstream = self._upstream_connection
         assert self.upstream is not None and upstream is not None
         self.connection.write(response)
@@ -142,14 +143,14 @@
         self.connection.write(line)
 
     def on_upstream_closed(self, kind: lines.LineKind, reset: bool) -> None:
-        """Closes the client connection the way in which the endpoint closed its own."""
+        """Closes the client connection as the endpoint has closed its own: in order, or with a reset."""
         del kind
         self.close(reset)
 
     # Hot restart: called by the runtime.
 
     def prepare_handover(self) -> SessionHandover | None:
-        """What another process needs to continue the session; None where it cannot be handed over now."""
+        """Returns what the successor needs to continue the session; None if it cannot be handed over now."""
         upstream = self._upstream_connection
         if self.upstream is None or upstream is None or self.closed:
             return None
@@ -159,7 +160,7 @@
         return SessionHandover(state.to_message(), [self.connection, upstream])
 
     def restore(self, exchange: Exchange, upstream: Connection, state: PlatformSessionState) -> None:
-        """Continues a session that another process of this node had established."""
+        """Continues a session that the predecessor had established."""
         self.exchange = exchange
         assert exchange.attempt is not None
         self.upstream = PlatformUpstream.restore(self, exchange.attempt, upstream, state.upstream)
@@ -167,7 +168,7 @@
         restore_incomplete_line(self.splitter, state.incomplete_line)
 
     def release_to_successor(self) -> None:
-        """Another process serves the session: closes the descriptors of this one."""
+        """The successor serves the session: closes this process's descriptors."""
         upstream = self._upstream_connection
         assert upstream is not None
         self._release()
@@ -194,8 +195,8 @@
         elif self.exchange is not None and self.exchange.established and self.upstream is not None:
             self.upstream.forward(line)
         elif line.startswith(lines.OPEN):
-            # Guards against clients that send many commands at once: a connection carries one session.
-            raise lines.LineError("a second message before the first has its answer")
+            # Guards against clients that send several OPEN lines at once: a connection carries one session.
+            raise lines.LineError("a second OPEN line before the first was answered")
         else:
             self._buffer_line(line)
 
@@ -218,7 +219,7 @@
         endpoint = self.coordinator.endpoint_list.find(opening.requested_endpoint)
         if endpoint is None or endpoint not in self.coordinator.endpoint_list.addresses:
             raise lines.LineError(
-                f"at={opening.requested_endpoint[:40]}: discovery has named no such transcriber"
+                f"at={opening.requested_endpoint[:40]}: no such endpoint in the endpoint list"
             )
         self.exchange = self.coordinator.adopt(request, endpoint, self)
 
@@ -229,14 +230,14 @@
         if size > MAX_BUFFERED_BYTES_OF_ONE or (
             size > MAX_BUFFERED_BYTES and self.frontend.buffered_bytes > MAX_BUFFERED_BYTES_OF_ALL
         ):
-            raise lines.LineError("too much was sent before the answer")
+            raise lines.LineError("too many bytes before the session is established")
 
     def _clear_buffer(self) -> None:
         self.frontend.buffered_bytes -= len(self._buffer)
         self._buffer.clear()
 
     def _reject_input(self, problem: str) -> None:
-        """Ends a connection whose client sent invalid input. None of it reaches an endpoint."""
+        """Closes a connection whose client sent invalid input. None of the input reaches an endpoint."""
         self.coordinator.counters.add("bad_lines")
         peer = log.format_peer(self.connection.peer)
         log.info(f"bad line from a client at {peer}: {problem}", high_volume=True)
--- a/puffinpost/frontends/platform/upstream.py
+++ b/puffinpost/frontends/platform/upstream.py
@@ -1,7 +1,7 @@
 """The connection of an attempt to its endpoint on the platform's line protocol.
 
-The platform and the MQTT frontend create one for each attempt, the connector and the connection call it. It
-never starts another attempt: it reports to the coordinator how this one ended.
+The platform and the MQTT frontends create an upstream for each attempt; the connector and the connection call
+it. It never starts another attempt: it reports to the coordinator how its own ended.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from puffinpost.proxy.coordinator import Coordinator
 from puffinpost.proxy.exchange import Attempt
 
-# How an attempt ended, by the line with which the endpoint refused it ...
-_REFUSAL_RESULTS = {
+# The result of an attempt, by the kind of the line with which the endpoint rejected it.
+_REJECTION_RESULTS = {
     lines.LineKind.BUSY: AttemptResult.REJECTED,
     lines.LineKind.MOVE: AttemptResult.CANCELLED,
 }
-# ... and by the last line of an established connection.
+# The result of an established attempt, by the kind of the endpoint's final line.
 _CLOSE_RESULTS = {
     lines.LineKind.BYE: AttemptResult.SERVED,
     lines.LineKind.MOVE: AttemptResult.CANCELLED,
@@ -30,7 +30,7 @@
 
 
 class UpstreamListener(Protocol):
-    """The frontend's session, as the upstream of its current attempt calls it."""
+    """The interface of a frontend's session to the upstream of its current attempt."""
 
     coordinator: Coordinator
 
@@ -45,7 +45,7 @@
 
 
 class PlatformUpstream:
-    """The connection of one attempt."""
+    """The connection of one attempt to its endpoint."""
 
     def __init__(
         self, session: UpstreamListener, attempt: Attempt, opening: lines.OpenRequest | None
@@ -68,25 +68,25 @@
         connection: Connection,
         state: PlatformUpstreamState,
     ) -> PlatformUpstream:
-        """The upstream of an attempt that another process of this node had established."""
+        """Creates the upstream of an attempt that the predecessor had established."""
         upstream = cls(session, attempt, None)
         upstream.connection, upstream.last_line_kind = connection, state.last_line_kind
         restore_incomplete_line(upstream.splitter, state.incomplete_line)
         return upstream
 
     def state(self) -> PlatformUpstreamState:
-        """What another process needs to continue the upstream."""
+        """Returns what the successor needs to continue the upstream."""
         return PlatformUpstreamState(self.splitter.incomplete_line, self.last_line_kind)
 
     # UpstreamHandler: called by the connector.
 
     def on_connected(self) -> None:
-        """Writes the OPEN line, with the time that is left."""
+        """Writes the OPEN line with the remaining time."""
         assert self.opening is not None  # a restored upstream is connected already
         self._write(self.opening.forwarded(self.coordinator.remaining_ms(self.attempt)))
 
     def on_flushed(self) -> None:
-        """The OPEN line is written: the endpoint may have started the session."""
+        """Records that the OPEN line is written: from now on the endpoint may have started the session."""
         self.coordinator.request_written(self.attempt)
 
     def forward(self, data: bytes, line_count: int = 1) -> None:
@@ -95,11 +95,11 @@
         self.coordinator.lines_forwarded(self.attempt.exchange, len(data), line_count)
 
     def close(self) -> None:
-        """Closes the connection; an established one after all that was written.
+        """Closes the connection; if it is established, after the queued data is sent.
 
-        There the sending side is closed first (half-close): the endpoint may be writing at this moment, and a
-        close with unread input is a reset. Where the attempt was not established, nothing that is still
-        queued may be sent: it counts as never written.
+        An established connection is half-closed first: the endpoint may be writing at this moment, and a
+        close with unread input is a reset. If the attempt was not established, the data that is still queued
+        must not be sent, because it counts as never written.
         """
         if self.connection is None:
             return
@@ -136,7 +136,7 @@
             self._complete(AttemptResult.RESET)
 
     def on_internal_error(self) -> None:
-        """Invalid input or an unexpected exception ends the attempt."""
+        """Ends the attempt after invalid input or an unexpected exception."""
         established = self.attempt.exchange.established
         self._complete(AttemptResult.RESET if established else AttemptResult.ERROR)
         if established:
@@ -154,7 +154,7 @@
             if self.coordinator.attempt_established(self.attempt):
                 self.session.on_established(line)
             return
-        result = _REFUSAL_RESULTS.get(kind, AttemptResult.ERROR)
+        result = _REJECTION_RESULTS.get(kind, AttemptResult.ERROR)
         self._complete(result, self._load_report(line))
 
     def _on_session_line(self, line: bytes) -> None:
--- a/puffinpost/frontends/resumable_client.py
+++ b/puffinpost/frontends/resumable_client.py
@@ -1,7 +1,7 @@
-"""What sessions of MQTT and XMPP share: the request under way, its upstream, and flow control.
+"""The common part of MQTT and XMPP sessions: the current request, its upstream, and flow control.
 
-Such a session outlives its client connections. The subclasses translate one protocol each; nothing here knows
-a wire format.
+Such a session outlives its client connections. Each subclass translates one protocol; this module is
+independent of the wire formats.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 class ClientConnection(Protocol):
-    """A client's connection, as its protocol's frontend wraps it."""
+    """A client's connection, wrapped by the frontend of its protocol."""
 
     connection: Connection
 
     def on_timeout(self) -> None:
-        """Its time is over, or its slot is needed: answer and close."""
+        """Its timeout has passed, or its slot is needed: answer and close."""
 
 
 class Upstream(UpstreamHandler, Protocol):
-    """The connection of one attempt, in a protocol of endpoints."""
+    """The connection of one attempt, in a protocol that endpoints use."""
 
     def close(self) -> None:
         """Closes the connection; the attempt has ended."""
@@ -38,7 +38,7 @@
 
 
 class ResumableClient(ABC, Generic[ConnectionT, UpstreamT]):
-    """The client side of at most one request at a time, with or without a connection."""
+    """The client side of at most one request at a time, whether the client is connected or not."""
 
     def __init__(
         self, coordinator: Coordinator, connector: UpstreamConnector, admission: ConnectionAdmission
@@ -68,7 +68,7 @@
 
     @abstractmethod
     def on_session_expired(self) -> None:
-        """The session has ended, and the request under way ends with it."""
+        """The session has ended, and its current request ends with it."""
 
     def abort_attempt(self, attempt: Attempt) -> None:
         """Closes the connection of an attempt."""
@@ -85,7 +85,9 @@
         return self.upstream.connection if self.upstream is not None else None
 
     def _reserve_capacity(self, request: SessionRequest) -> bool:
-        """Whether there is capacity for a request; from then on the session holds it for its connection."""
+        """Reserves capacity for a request; returns False if there is none.
+
+        From then on the session's reservation replaces that of the client's connection."""
         if not self.admission.reserve_session(self):
             self.coordinator.count_rejected(request.request_class)
             return False
@@ -94,22 +96,22 @@
         return True
 
     def _start_exchange(self, request: SessionRequest) -> None:
-        """Opens a request. Raises ``DuplicateRequestError`` where its id is in use."""
+        """Opens a request. Raises ``DuplicateRequestError`` if its id is in use."""
         exchange = self.coordinator.open(request, self)
         # The final answer may have been given during the call.
         self.exchange = None if exchange.answered else exchange
 
     def _connect_flow_control(self) -> None:
-        """Lets each side be read only as fast as the other side is written."""
+        """Makes each connection be read only as fast as the other one is written."""
         upstream = self.upstream_connection
         if self.connection is not None and upstream is not None and self.exchange is not None:
             client = self.connection.connection
             client.forward_target, upstream.forward_target = upstream, client
 
     def _regulate_upstream(self, session: ResumableSession) -> None:
-        """Stops reading the upstream of a client that does not acknowledge, and resumes it later.
+        """Pauses reading the upstream of a client that does not acknowledge, and resumes it later.
 
-        This bounds the memory that one client's unacknowledged messages take.
+        This bounds the memory that one client's unacknowledged messages use.
         """
         exchange, upstream = self.exchange, self.upstream_connection
         if exchange is None or upstream is None or not exchange.established:
@@ -124,4 +126,4 @@
             self.coordinator.set_reading_paused(exchange, False)
 
     def _on_upstream_paused(self) -> None:
-        """The upstream is not read until the client has acknowledged enough."""
+        """Reading the upstream is paused until the client has acknowledged enough."""
