--- a/puffinpost/frontends/mqtt/__init__.py
+++ b/puffinpost/frontends/mqtt/__init__.py
@@ -1,6 +1,7 @@
-"""The MQTT frontend: sessions of devices over topics of this node's own; docs/mqtt.md lists them.
+"""The MQTT frontend: sessions of devices over the node's topics, which docs/mqtt.md lists.
 
-It is no broker: nothing is published from one client to another. The runtime imports the frontend from here.
+It is not a broker: nothing is published from one client to another. The runtime imports the frontend from
+here.
 """
 
 from puffinpost.frontends.mqtt.connection import MqttConnection
--- a/puffinpost/frontends/mqtt/connect.py
+++ b/puffinpost/frontends/mqtt/connect.py
@@ -1,6 +1,6 @@
-"""What a CONNECT packet leads to: a refusal, a new session, or one that is resumed.
+"""Handles a CONNECT packet: refuses it, begins a new session, or resumes an earlier session.
 
-The connection calls it once for each CONNECT. It writes no packet itself.
+The connection calls it once for each CONNECT. It writes no packet.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
     from puffinpost.frontends.mqtt.frontend import MqttFrontend
 
 MAX_CLIENT_ID_LENGTH = 256
-MIN_UNGUESSABLE_CLIENT_ID_LENGTH = 22  # characters of base 64: 128 bits
+MIN_UNGUESSABLE_CLIENT_ID_LENGTH = 22  # characters of base64: 128 bits
 ASSIGNED_CLIENT_ID_BYTES = 18
 EXPIRY_NEVER_S = 0xFFFFFFFF  # MQTT 5.0, 3.1.2.11.2
 
 
 class ConnectRefusedError(PuffinpostError):
-    """A CONNECT is refused: with a reason code, and in version 5 with a text."""
+    """A CONNECT is refused with a reason code and, in version 5, with a text."""
 
     def __init__(self, reason: ReasonCode, text: str = "") -> None:
         super().__init__(text)
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectResult:
-    """The session that a CONNECT was given."""
+    """The session that an accepted CONNECT attaches to."""
 
     session: MqttSession
-    is_present: bool  # it is an earlier one that is resumed
-    assigned_client_id: str  # empty where the client has named one
+    session_present: bool  # an earlier session is resumed
+    assigned_client_id: str  # empty if the client has sent an identifier
     requested_expiry_s: int
 
 
 def accept_connect(frontend: MqttFrontend, packet: mqtt.Connect, certificate_name: str) -> ConnectResult:
-    """Authenticates the client and finds or begins its session. Raises ``ConnectRefusedError``."""
+    """Authenticates the client, and resumes or begins its session. Raises ``ConnectRefusedError``."""
     _check_properties(packet)
     user = authenticated_user(frontend.config, packet, certificate_name)
     if user is None:
@@ -63,7 +63,7 @@
 
 
 def authenticated_user(config: MqttConfig, packet: mqtt.Connect, certificate_name: str) -> str | None:
-    """The name of the client; empty where it is anonymous, None where it has not authenticated."""
+    """Returns the client's user name: empty if it is anonymous, None if authentication fails."""
     if packet.username is None:
         if certificate_name:
             return certificate_name
@@ -71,7 +71,7 @@
     if certificate_name and packet.username == certificate_name and packet.password is None:
         return certificate_name
     password = config.users.get(packet.username, "")
-    # Compared even where there is no such user, so that the time taken reveals nothing.
+    # The comparison runs for unknown users too, so that its time does not reveal which users exist.
     is_equal = hmac.compare_digest(password.encode(), packet.password or b"")
     return packet.username if password and is_equal else None
 
@@ -99,20 +99,22 @@
 
 def _open_session(frontend: MqttFrontend, packet: mqtt.Connect, user: str) -> ConnectResult:
     registry = frontend.registry
-    # The identifier alone distinguishes anonymous clients, so theirs must not be guessable.
+    # Anonymous clients are distinguished by their identifiers alone, so these must not be guessable.
     is_resumable = (
         bool(user) or len(packet.client_id) >= MIN_UNGUESSABLE_CLIENT_ID_LENGTH or not packet.client_id
     )
     assigned_id = "" if packet.client_id else secrets.token_urlsafe(ASSIGNED_CLIENT_ID_BYTES)
-    # The length precedes the user's name: "a:b" with "c" must not be taken for "a" with "b:c".
+    # The length precedes the user name: user "a:b" with client "c" must differ from "a" with "b:c".
     name = f"mqtt:{len(user)}:{user}:{packet.client_id or assigned_id}" if is_resumable else ""
     owner = f"mqtt:{user}"
     expiry_s = _requested_expiry_s(packet)
     grace_ns = min(expiry_s * 1000 * MS, registry.limits.grace_ns) if is_resumable else 0
     session = registry.find_by_name(name, owner) if name else None
-    is_present = session is not None and not packet.clean_start and isinstance(session.owner, MqttSession)
-    if session is not None and not is_present:
-        session.owner.on_session_replaced()  # what it has under way is closed before anything new begins
+    session_present = (
+        session is not None and not packet.clean_start and isinstance(session.owner, MqttSession)
+    )
+    if session is not None and not session_present:
+        session.owner.on_session_replaced()  # closes its request before the new session begins
         session = None
     if session is None:
         try:
@@ -121,13 +123,13 @@
             raise ConnectRefusedError(ReasonCode.QUOTA_EXCEEDED) from None
         MqttSession(frontend, session)
     session.grace_ns = grace_ns
-    return ConnectResult(session.owner, is_present, assigned_id, expiry_s)
+    return ConnectResult(session.owner, session_present, assigned_id, expiry_s)
 
 
 def connack_properties(
     frontend: MqttFrontend, result: ConnectResult, server_keep_alive_s: int | None
 ) -> dict[str, Any]:
-    """What a CONNACK tells the client. ``server_keep_alive_s``: where it differs from the client's own."""
+    """Returns the properties of the CONNACK. ``server_keep_alive_s``: None if the client's own applies."""
     properties: dict[str, Any] = {
         "receive_maximum": frontend.config.receive_maximum,
         "retain_available": 0,
--- a/puffinpost/frontends/mqtt/connection.py
+++ b/puffinpost/frontends/mqtt/connection.py
@@ -1,6 +1,6 @@
-"""One connection of an MQTT client: packets in, packets out, keep-alive.
+"""One connection of an MQTT client: reads and writes packets, and enforces the keep-alive.
 
-The connection delivers bytes to it. What outlives the connection is the session's.
+The underlying connection delivers bytes to it. The state that outlives the connection belongs to the session.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from puffinpost.frontends.mqtt import topics
 from puffinpost.frontends.mqtt.connect import ConnectRefusedError, accept_connect, connack_properties
 from puffinpost.frontends.mqtt.handover import MqttConnectionState
-from puffinpost.frontends.mqtt.keep_alive import KeepAlive, silence_limit_ns
+from puffinpost.frontends.mqtt.keep_alive import KeepAlive, keep_alive_timeout_ns
 from puffinpost.net.connection import Connection
 from puffinpost.observability import log
 from puffinpost.protocol import mqtt
@@ -31,9 +31,11 @@
         self.connection = connection
         self.parser = mqtt.PacketParser(topics.MAX_PACKET_BYTES)
         self.session: MqttSession | None = None
-        self.generation = 0  # of the session's connections
+        self.generation = 0  # which of the session's successive connections this is
         self.closed = False
-        self.keep_alive = KeepAlive(frontend.coordinator.clock, self._is_reading_paused, self._on_silent)
+        self.keep_alive = KeepAlive(
+            frontend.coordinator.clock, self._is_reading_paused, self._on_keep_alive_timeout
+        )
         self._certificate_name = ""
 
     def on_tls_established(self, certificate_name: str) -> None:
@@ -46,19 +48,19 @@
         return self.parser.version or mqtt.V5
 
     def restore(self, session: MqttSession, state: MqttConnectionState) -> None:
-        """Continues a connection whose CONNECT was answered by another process of this node."""
+        """Continues a connection whose CONNECT was answered by the predecessor."""
         self.parser.version = state.version
         self.session, session.connection = session, self
         self.generation = session.session.generation
         self.keep_alive.on_data_received()
-        self.keep_alive.start(state.silence_limit_ns)
+        self.keep_alive.start(state.keep_alive_timeout_ns)
 
     def state(self) -> MqttConnectionState:
-        """What another process needs to continue the connection."""
+        """Returns what the successor needs to continue the connection."""
         return MqttConnectionState(self.version, self.keep_alive.timeout_ns)
 
     def release_to_successor(self) -> None:
-        """Another process serves the connection: closes the descriptor of this one."""
+        """The successor serves the connection: closes this process's descriptor."""
         self.session = None
         self._stop()
         self.connection.detach()
@@ -69,7 +71,7 @@
             self.connection.write(mqtt.encode(packet, self.version))
 
     def close(self, reason: ReasonCode) -> None:
-        """Closes the connection, with a DISCONNECT where the version has one. The session is detached."""
+        """Closes the connection, in version 5 after a DISCONNECT. The session is detached."""
         if not self.closed and self.session is not None and self.version == mqtt.V5:
             self.write(mqtt.Disconnect(PacketType.DISCONNECT, int(reason)))
         self._close()
@@ -94,12 +96,12 @@
             self._handle(packet)
 
     def connection_lost(self, reset: bool) -> None:
-        """The client has closed or reset the connection: its session may be resumed either way."""
+        """The client has closed or reset the connection; in both cases its session may be resumed."""
         del reset
         self._release()
 
     def on_internal_error(self) -> None:
-        """An unexpected exception ends the request under way and the connection."""
+        """Ends the current request and the connection after an unexpected exception."""
         if self.session is not None:
             self.session.on_internal_error()
         self.close(ReasonCode.UNSPECIFIED)
@@ -159,9 +161,9 @@
         server_keep_alive_s = self._start_keep_alive(packet)
         self.session = result.session
         properties = connack_properties(self.frontend, result, server_keep_alive_s)
-        self.write(mqtt.Connack(0, result.is_present, properties))
+        self.write(mqtt.Connack(0, result.session_present, properties))
         self.frontend.admission.mark_idle(self)
-        result.session.attach(self, packet, result.is_present)
+        result.session.attach(self, packet, result.session_present)
 
     def _refuse(self, reason: ReasonCode, text: str = "") -> None:
         code = mqtt.connack_code(reason, self.version)
@@ -180,19 +182,20 @@
     # Keep-alive.
 
     def _start_keep_alive(self, packet: mqtt.Connect) -> int | None:
-        """Starts the keep-alive; its seconds where the client is to use others than it has asked for."""
+        """Starts the keep-alive; returns its seconds if they differ from those that the client requested."""
         max_s, keep_alive_s = self.frontend.config.keep_alive_s, packet.keep_alive
         if packet.version == mqtt.V5 and not 0 < keep_alive_s <= max_s:
-            keep_alive_s = max_s  # bounds the life of a half-open connection; 3.1.1 has no server keep-alive
-        self.keep_alive.start(silence_limit_ns(keep_alive_s))
-        if self.keep_alive.timeout_ns in (0, silence_limit_ns(packet.keep_alive)):
+            # Bounds how long a half-open connection stays; version 3.1.1 has no server keep-alive.
+            keep_alive_s = max_s
+        self.keep_alive.start(keep_alive_timeout_ns(keep_alive_s))
+        if self.keep_alive.timeout_ns in (0, keep_alive_timeout_ns(packet.keep_alive)):
             return None
         return max_s
 
     def _is_reading_paused(self) -> bool:
         return self.session is not None and self.session.is_reading_paused
 
-    def _on_silent(self) -> None:
+    def _on_keep_alive_timeout(self) -> None:
         self.coordinator.counters.add("mqtt_silent")
         self.close(ReasonCode.KEEP_ALIVE_TIMEOUT)
 
--- a/puffinpost/frontends/mqtt/device_delivery.py
+++ b/puffinpost/frontends/mqtt/device_delivery.py
@@ -1,6 +1,6 @@
-"""Messages towards the device: what is queued for it, and how it is published on a connection.
+"""Delivers messages to the device: queues them, and publishes them on its connection.
 
-The session owns it. It never decides what a device is sent.
+The session owns it. It does not decide which messages a device is sent.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
     from puffinpost.frontends.mqtt.connection import MqttConnection
 
 DEFAULT_RECEIVE_MAXIMUM = 65_535  # MQTT 5.0, 3.1.2.11.3
-CORRELATION_SEPARATOR = "\0"  # between topic and correlation data in the kind of an entry
+CORRELATION_SEPARATOR = "\0"  # separates topic and correlation data in the kind of an outbox entry
 
 
 class DeviceDelivery:
-    """The unacknowledged messages of one session, and the packet identifiers that they use."""
+    """Tracks the unacknowledged messages of one session and their packet identifiers."""
 
     def __init__(self, session: ResumableSession, subscriptions: Subscriptions, counters: Counters) -> None:
         self.outbound = OutboundDelivery()
@@ -31,7 +31,7 @@
         self._counters = counters
 
     def push(self, topic: str, payload: bytes) -> bool:
-        """Queues a message; False where the device has not subscribed to its topic."""
+        """Queues a message; returns False if the device has not subscribed to its topic."""
         if self._subscriptions.qos_for(topic) is None:
             self._counters.add("mqtt_unsubscribed")
             return False
@@ -39,12 +39,12 @@
         return True
 
     def push_answer(self, topic: str, correlation_data: bytes | None, payload: bytes) -> None:
-        """Queues the answer to a request, also where the device has unsubscribed meanwhile."""
+        """Queues the answer to a request, even if the device has unsubscribed in the meantime."""
         suffix = f"{CORRELATION_SEPARATOR}{correlation_data.hex()}" if correlation_data is not None else ""
         self._session.push(topic + suffix, payload)
 
     def flush(self, connection: MqttConnection) -> None:
-        """Publishes what the client's receive maximum and the window after a resumption allow."""
+        """Publishes as many messages as the receive maximum and the window after a resumption allow."""
         while not connection.closed:
             entries = self._session.take_due(max(0, self.receive_maximum - len(self.outbound.releasing)))
             if not entries:
@@ -53,7 +53,7 @@
                 self._publish(connection, entry)
 
     def resend_releases(self, connection: MqttConnection) -> None:
-        """Sends each PUBREL again that was not completed on an earlier connection (MQTT 5.0, 4.4)."""
+        """Resends each PUBREL that was not completed on an earlier connection (MQTT 5.0, 4.4)."""
         for packet_id in self.outbound.releasing:
             connection.write(Ack(PacketType.PUBREL, packet_id))
 
@@ -73,7 +73,7 @@
         earlier_qos = self.outbound.qos_of(entry.number)
         qos = earlier_qos if earlier_qos is not None else self._subscriptions.qos_for(topic)
         if not qos:
-            # A message at QoS 0 is complete once written; one without a subscriber is dropped.
+            # A message at QoS 0 is complete once it is written; a message without a subscription is dropped.
             if qos == 0:
                 connection.write(Publish(topic, entry.data, properties=properties))
             self._session.release(entry.number)
--- a/puffinpost/frontends/mqtt/frontend.py
+++ b/puffinpost/frontends/mqtt/frontend.py
@@ -1,6 +1,7 @@
 """Accepts connections of MQTT clients.
 
-The listener and the runtime call it. It owns what all its sessions share, and never reads from a connection.
+The listener and the runtime call it. It owns the state that its sessions share, and never reads from a
+connection.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class MqttFrontend:
-    """Creates a connection's handler, and restores sessions of an earlier process."""
+    """Creates the handlers of connections, and restores the predecessor's sessions."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         self.draining = False
 
     def accept(self, connection: Connection) -> MqttConnection:
-        """Creates the handler of a new connection; the caller runs the connection with it."""
+        """Creates the handler of a new connection; the caller starts the connection with it as receiver."""
         client = MqttConnection(self, connection)
         self.connections.add(client)
         self.admission.admit_pending(client)
@@ -54,9 +55,9 @@
     def adopt_session(
         self, message: dict[str, Any], connection: Connection | None, upstream: Connection | None
     ) -> MqttSession:
-        """Restores a session of another process of this node; the caller runs the connections.
+        """Restores a session of the predecessor; the caller starts the connections.
 
-        Raises ``KeyError``, ``TypeError`` or ``ValueError`` where the message is not complete.
+        Raises ``KeyError``, ``TypeError`` or ``ValueError`` if the message is incomplete or invalid.
         """
         state = MqttSessionState.from_message(message)
         resumable = self.registry.restore(state.resumable)
@@ -88,9 +89,9 @@
         self.admission.adopt_session(session)
 
     def reject_without_descriptor(self, accepted: socket.socket) -> None:
-        """Does nothing: MQTT has no packet for a server to send before CONNECT; the caller closes."""
+        """Does nothing: an MQTT server sends no packet before CONNECT. The caller closes the connection."""
 
     def close_connections(self) -> None:
-        """Closes all connections; their sessions are detached."""
+        """Closes all connections for shutdown; their sessions are detached."""
         for client in list(self.connections):
             client.close(ReasonCode.SHUTTING_DOWN)
--- a/puffinpost/frontends/mqtt/handover.py
+++ b/puffinpost/frontends/mqtt/handover.py
@@ -1,6 +1,7 @@
-"""The state of an MQTT session as one process of the node hands it to the next.
+"""The state of an MQTT session, as it is handed to the successor in a hot restart.
 
-Keys on the handover channel differ from the field names here; only this module and the frontend know both.
+The keys on the handover channel differ from the field names here; only this module and the frontend have
+both.
 """
 
 from __future__ import annotations
@@ -21,24 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MqttConnectionState:
-    """What goes with the connection of a client that has one."""
+    """The state of the client's connection, if the client is connected."""
 
     version: int
-    silence_limit_ns: int
+    keep_alive_timeout_ns: int
 
     def to_message(self) -> dict[str, Any]:
-        """The state with the keys of the handover channel."""
-        return {"version": self.version, "silence_ns": self.silence_limit_ns}
+        """Returns the state under the keys of the handover channel."""
+        return {"version": self.version, "silence_ns": self.keep_alive_timeout_ns}
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> MqttConnectionState:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the result of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         return cls(int(message["version"]), int(message["silence_ns"]))
 
 
 @dataclass(frozen=True, slots=True)
 class MqttSessionState:
-    """What a session has beside its connections and the request under way."""
+    """The state of a session, without its connections and its current request."""
 
     resumable: SessionSnapshot
     subscriptions: dict[str, int]
@@ -51,7 +52,7 @@
 
     @classmethod
     def of(cls, session: MqttSession) -> MqttSessionState:
-        """The present state of a session."""
+        """Returns the current state of a session."""
         return cls(
             resumable=session.session.snapshot(),
             subscriptions=session.subscriptions.granted,
@@ -64,7 +65,7 @@
         )
 
     def apply_to(self, session: MqttSession) -> None:
-        """Gives a new session the state of another process."""
+        """Restores this state in a new session."""
         session.subscriptions.granted = self.subscriptions
         session.publish_handler.inbound.unpack(self.inbound)
         session.delivery.outbound.unpack(self.outbound)
@@ -72,7 +73,7 @@
         session.last_request = LastRequest(self.last_request_id, self.reply_topic, None, self.answer)
 
     def to_message(self, connection: MqttConnectionState | None) -> dict[str, Any]:
-        """The state with the keys of the handover channel."""
+        """Returns the state under the keys of the handover channel."""
         message: dict[str, Any] = {
             "kind": KIND,
             "session": self.resumable.to_message(),
@@ -91,7 +92,7 @@
 
     @classmethod
     def from_message(cls, message: Mapping[str, Any]) -> MqttSessionState:
-        """What ``to_message`` gave. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+        """Parses the result of ``to_message``. Raises ``KeyError``, ``TypeError`` or ``ValueError``."""
         return cls(
             SessionSnapshot.from_message(message["session"]),
             {str(topic): int(qos) for topic, qos in message["subscriptions"].items()},
@@ -105,9 +106,10 @@
 
 
 def prepare_handover(session: MqttSession) -> SessionHandover | None:
-    """What another process needs to continue a session; None where it cannot be handed over now.
+    """Returns what the successor needs to continue a session; None if it cannot be handed over now.
 
-    That is so while its request has no final answer yet, or a packet or a line is incomplete.
+    It cannot while its request is not established, reading its endpoint is paused, a packet from the client
+    is incomplete, or a connection has buffered data.
     """
     connections = []
     connection_state = None
--- a/puffinpost/frontends/mqtt/publish_handler.py
+++ b/puffinpost/frontends/mqtt/publish_handler.py
@@ -1,6 +1,6 @@
-"""What a device publishes: requests to open a session, lines for the endpoint, the end of a session.
+"""Handles a device's messages: requests to open a session, lines for the endpoint, the end of a session.
 
-The connection calls it for each PUBLISH. A refusal is acknowledged with its reason and changes nothing.
+The connection calls it for each PUBLISH. A refused message is acknowledged with its reason and has no effect.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class PublishResult(NamedTuple):
-    """The reason code of a PUBLISH, and a text for people."""
+    """The reason code of a PUBLISH, and a human-readable text."""
 
     reason: ReasonCode
     text: str = ""
@@ -39,7 +39,7 @@
         self._counters = session.coordinator.counters
 
     def on_publish(self, packet: Publish) -> None:
-        """Handles a packet and acknowledges it. Raises ``MqttError`` where it breaks the protocol."""
+        """Handles a packet and acknowledges it. Raises ``MqttError`` if it violates the protocol."""
         session = self._session
         self._check_properties(packet)
         if packet.qos and not self.inbound.is_new(packet):
@@ -135,7 +135,7 @@
     def _parse(
         self, payload: bytes, peer: tuple[str, int]
     ) -> tuple[lines.OpenRequest, SessionRequest | None]:
-        """The OPEN line, and its request where it is to be opened. Raises ``LineError``."""
+        """Returns the OPEN line, and its request if it opens a new one. Raises ``LineError``."""
         opening = lines.parse_open_request(payload + b"\r\n")
         if opening.requested_endpoint is not None:
             raise lines.LineError("at= is not for devices")
--- a/puffinpost/frontends/mqtt/session.py
+++ b/puffinpost/frontends/mqtt/session.py
@@ -1,7 +1,7 @@
-"""One MQTT session: what outlives the connections of a device, and the request that it may have under way.
+"""One MQTT session: the state of a device that outlives its connections, and its current request.
 
-The connection, the coordinator and the upstream call it. The resumable session that it speaks for decides
-what is sent again after a resumption.
+The connection, the coordinator and the upstream call it. Its resumable session decides which messages are
+resent after a resumption.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
     from puffinpost.frontends.mqtt.connection import MqttConnection
     from puffinpost.frontends.mqtt.frontend import MqttFrontend
 
-MAX_BUFFERED_BYTES = 8 * 1024  # of lines before the session is established; then reading is paused
+MAX_BUFFERED_BYTES = 8 * 1024  # of lines before the session is established; above it, reading is paused
 OVERLOAD_RETRY_AFTER_MS = 500
-LOST = b"LOST"  # the payload on the topic of BYE where the endpoint is lost
+LOST = b"LOST"  # the payload on the BYE topic if the endpoint is lost
 _LINE_TOPICS = {lines.LineKind.BYE: topics.BYE, lines.LineKind.MOVE: topics.MOVE}
 
 
 class MqttSession(ResumableClient["MqttConnection", PlatformUpstream]):
     """A device's session with this node."""
 
-    can_hand_over = True  # to another process of this node
+    can_hand_over = True  # to the successor in a hot restart
 
     def __init__(self, frontend: MqttFrontend, session: ResumableSession) -> None:
         super().__init__(frontend.coordinator, frontend.connector, frontend.admission)
@@ -54,21 +54,21 @@
 
     @property
     def version(self) -> int:
-        """The protocol's version on the present connection."""
+        """The protocol version of the current connection; 5 if there is none."""
         return self.connection.version if self.connection is not None else mqtt.V5
 
     @property
     def is_reading_paused(self) -> bool:
-        """Whether the client is not read now, because too many of its lines wait for the endpoint."""
+        """Whether reading the client is paused because too many of its lines wait for the endpoint."""
         return len(self._buffer) > MAX_BUFFERED_BYTES
 
     # Connections.
 
-    def attach(self, connection: MqttConnection, packet: mqtt.Connect, is_present: bool) -> None:
-        """A client has connected and its CONNACK is written."""
+    def attach(self, connection: MqttConnection, packet: mqtt.Connect, session_present: bool) -> None:
+        """Attaches a new connection, whose CONNACK is written."""
         earlier, self.connection = self.connection, connection
         self.delivery.receive_maximum = packet.properties.get("receive_maximum", DEFAULT_RECEIVE_MAXIMUM)
-        if is_present:
+        if session_present:
             connection.generation = self.frontend.registry.attach(self.session)
         else:
             connection.generation = self.session.generation
@@ -84,7 +84,7 @@
         self.flush()
 
     def detach(self, connection: MqttConnection) -> None:
-        """A connection is lost. If it was the present one, the session waits for another or ends."""
+        """A connection is lost. If it was the current one, the session waits for another one or ends."""
         if self.connection is connection:
             self.connection = None
         if not self.frontend.registry.detach(
@@ -98,7 +98,7 @@
             self.admission.mark_detached(self)
 
     def on_session_expired(self) -> None:
-        """The session has ended, and the request under way ends with it."""
+        """The session has ended, and its current request ends with it."""
         exchange, self.exchange = self.exchange, None
         self.admission.release(self)
         if exchange is not None:
@@ -120,7 +120,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Publishes what is due, and adapts the reading of the upstream to what remains."""
+        """Publishes the messages that are due, and pauses or resumes reading the upstream."""
         if self.connection is not None:
             self.delivery.flush(self.connection)
         self._regulate_upstream(self.session)
@@ -134,7 +134,7 @@
         self.delivery.on_ack(self.connection, packet)
         self.flush()
 
-    # The request under way.
+    # The current request.
 
     def open_request(
         self,
@@ -156,11 +156,11 @@
             self._give_final_answer(lines.FAILED)
 
     def join_request(self, reply_topic: str, correlation_data: bytes | None) -> None:
-        """The device repeats its last request: it joins that one, and no second attempt is started.
+        """The device has repeated its last request: joins it to that request and starts no second attempt.
 
-        This holds also where the request is complete, since an id names one request. A pending answer goes to
-        whoever asked last. A given one is sent once; only at QoS 0, where nobody knows whether it arrived, it
-        is sent again unchanged.
+        This also holds if the request is complete, because an id identifies one request. A pending answer
+        goes to the reply topic of the latest repetition. A given answer is sent once, except at QoS 0, where
+        its arrival is unknown: there it is resent unchanged.
         """
         self.coordinator.counters.add("edge_joined")
         self.last_request.reply_topic = reply_topic
@@ -169,7 +169,7 @@
             self._send_answer(self.last_request.answer)
 
     def forward(self, line: bytes) -> None:
-        """Forwards a line of the device, once the session is established."""
+        """Forwards a line of the device, or buffers it until the session is established."""
         assert self.exchange is not None
         if self.exchange.established and self.upstream is not None:
             self.upstream.forward(line)
@@ -186,9 +186,10 @@
             self.coordinator.client_disconnected(exchange)
 
     def on_internal_error(self) -> None:
-        """An unexpected exception ends the request with its answer; the session stays for the next one.
+        """Ends the request with its answer after an unexpected exception; the session stays for the next one.
 
-        Otherwise a device that sends the same on each resumption would cause the same error again.
+        If the request stayed, a device that resends the same data on each resumption would cause the same
+        error each time.
         """
         if self.exchange is not None and not self.exchange.established:
             self._send_answer(lines.FAILED)
@@ -210,7 +211,7 @@
 
     def fail(self, timed_out: bool) -> None:
         """Answers that the request failed."""
-        del timed_out  # the protocol has one answer for both kinds of failure
+        del timed_out  # the protocol has the same answer for both kinds of failure
         self._give_final_answer(lines.FAILED)
 
     def migrate(self) -> None:
@@ -235,7 +236,7 @@
         self.notify(_LINE_TOPICS.get(kind, topics.DOWN), line.rstrip(b"\r\n"))
 
     def on_upstream_closed(self, kind: lines.LineKind, reset: bool) -> None:
-        """The endpoint has closed an established session; without a final line it is lost."""
+        """The endpoint has closed an established session, which is lost unless a final line came first."""
         del reset
         self.exchange = None
         if kind is lines.LineKind.OTHER:
@@ -245,18 +246,18 @@
     # Hot restart: called by the runtime and the frontend.
 
     def prepare_handover(self) -> SessionHandover | None:
-        """What another process needs to continue the session; None where it cannot be handed over now."""
+        """Returns what the successor needs to continue the session; None if it cannot be handed over now."""
         return prepare_handover(self)
 
     def on_restored(self) -> None:
-        """Connections and request are restored: what the earlier process has written counts as written."""
+        """Connections and request are restored: what the predecessor has written counts as written."""
         self._connect_flow_control()
         if self.connection is not None:
             self.session.on_connection_adopted()
         self.flush()
 
     def release_to_successor(self) -> None:
-        """Another process serves the session: closes the descriptors of this one."""
+        """The successor serves the session: closes this process's descriptors."""
         exchange, connection = self.exchange, self.connection
         self.exchange = self.connection = None
         self.frontend.registry.detach_to_successor(self.session)
@@ -283,7 +284,7 @@
         self.flush()
 
     def _on_exchange_ended(self) -> None:
-        """No request is under way any more: the connection, if there is one, is idle."""
+        """Releases the request's resources; a connected client is idle from now on."""
         self._opening = None
         self._resume_reading()
         self.admission.release(self)
--- a/puffinpost/frontends/mqtt/subscriptions.py
+++ b/puffinpost/frontends/mqtt/subscriptions.py
@@ -1,4 +1,4 @@
-"""The subscriptions of one device. The session owns them; they never hold a message."""
+"""The subscriptions of one device. The session owns them; they contain no messages."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class Subscriptions:
-    """The quality of service that was granted, by topic filter."""
+    """The granted quality of service (QoS), by topic filter."""
 
     def __init__(self, granted: Mapping[str, int] | None = None) -> None:
         self.granted: dict[str, int] = dict(granted or {})
 
     def qos_for(self, topic: str) -> int | None:
-        """The quality of service for messages to a topic; None where no filter matches it."""
+        """Returns the QoS for messages to a topic; None if no filter matches it."""
         matching = [
             qos for topic_filter, qos in self.granted.items() if mqtt.topic_matches(topic_filter, topic)
         ]
         return max(matching, default=None)
 
     def subscribe(self, packet: mqtt.Subscribe, version: int) -> tuple[int, ...]:
-        """The codes of the SUBACK. Raises ``MqttError`` where a subscription identifier is given."""
+        """Returns the codes of the SUBACK. Raises ``MqttError`` if there is a subscription identifier."""
         if "subscription_identifier" in packet.properties:
             raise MqttError(
                 ReasonCode.SUBSCRIPTION_IDS_UNSUPPORTED, "subscription identifiers are not available"
@@ -31,7 +31,7 @@
         return tuple(self._add(subscription, version) for subscription in packet.filters)
 
     def unsubscribe(self, packet: mqtt.Unsubscribe) -> tuple[int, ...]:
-        """The codes of the UNSUBACK."""
+        """Returns the codes of the UNSUBACK."""
         return tuple(
             0 if self.granted.pop(topic, None) is not None else ReasonCode.NO_SUBSCRIPTION_EXISTED
             for topic in packet.filters
@@ -43,13 +43,13 @@
         if topic_filter.startswith("$share/"):
             return int(ReasonCode.SHARED_UNSUPPORTED) if has_reason_codes else mqtt.SUBACK_FAILURE_311
         is_full = len(self.granted) >= mqtt.MAX_FILTERS and topic_filter not in self.granted
-        if is_full or not _matches_own_topic(topic_filter):
+        if is_full or not _matches_device_topic(topic_filter):
             return int(ReasonCode.FILTER_INVALID) if has_reason_codes else mqtt.SUBACK_FAILURE_311
         self.granted[topic_filter] = subscription.qos
         return subscription.qos
 
 
-def _matches_own_topic(topic_filter: str) -> bool:
+def _matches_device_topic(topic_filter: str) -> bool:
     if not topic_filter.startswith(topics.PREFIX):
         return False
     return topic_filter.startswith(topics.ANSWER + "/") or any(
