--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import NodeProcess, SocketPeer
-from test_mqtt import MqttWorld
+from test_mqtt import MqttDeployment
 from test_node import OPEN, first_of, fresh
 from test_node import served as served_on_lines
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment, open_request
@@ -46,7 +46,7 @@
 
 
 def test_a_bad_packet_of_a_device(deployment: Deployment) -> None:
-    front = MqttWorld(deployment)
+    front = MqttDeployment(deployment)
     peer = front.node.connect(b"GET / HTTP/1.1\r\n\r\n", front.port)
     assert peer.wait_for_close() == "end"
     assert named(front.node, peer) and front.node.read_counters()["mqtt_bad_packets"] == 1
@@ -62,8 +62,8 @@
 
 
 def test_a_bad_session_of_a_device(deployment: Deployment) -> None:
-    front = MqttWorld(deployment)
-    phone = front.phone()
+    front = MqttDeployment(deployment)
+    phone = front.connect_device()
     phone.subscribe()
     phone.publish("open", b"OPEN 1 2 c=live-text,d=soon")
     phone.flush()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 from stand_ins import SETTINGS, WAIT_TIMEOUT_S, NodeProcess, SocketPeer, StandInDiscovery
 from test_endings import establish_at, have_no_attempts, wait_for_list
 from test_mqtt import OPEN as MQTT_OPEN
-from test_mqtt import MqttWorld
+from test_mqtt import MqttDeployment
 from test_node import OPEN, first_of, fresh, served
 
 from puffinpost.balancing.poll_schedule import DISCOVERY_QUEUE_TIMEOUT_NS, PROPAGATION_LIMIT_NS
@@ -93,11 +93,11 @@
 
 @pytest.mark.parametrize("when", ["an attempt is out", "between attempts", "it stands"])
 def test_a_device_that_cancels_gets_no_further_attempt(deployment: Deployment, when: str) -> None:
-    front = MqttWorld(deployment)
-    phone = front.phone()
+    front = MqttDeployment(deployment)
+    phone = front.connect_device()
     phone.subscribe()
     if when == "it stands":
-        relay = phone.opened(deployment)
+        relay = phone.open_session(deployment)
     else:
         phone.publish("open", MQTT_OPEN % 1, correlation_data=b"c")
         phone.flush()
@@ -113,7 +113,7 @@
     phone.publish("bye", b"")
     phone.flush()
     front.node.process.send_signal(signal.SIGCONT)
-    phone.synced()
+    phone.synchronize()
     assert relay.wait_for_close() == "end"
     front.node.wait_for_counter("served" if when == "it stands" else "gone", 1)
     relays = front.node.read_counters()["relays"]
--- a/tests/test_slixmpp.py
+++ b/tests/test_slixmpp.py
@@ -10,7 +10,7 @@
 
 import slixmpp
 from conftest import Deployment
-from test_mqtt import Link, asked, links
+from test_mqtt import LinkProcess, has_pending_attempt, start_link
 from test_node import first_of
 from xmpp_stand_ins import (
     CERTIFICATE,
@@ -22,7 +22,7 @@
     negotiate_as_endpoint,
 )
 
-__all__ = ["links"]
+__all__ = ["start_link"]
 SHORT_S = 20.0
 
 
@@ -30,7 +30,7 @@
     return await asyncio.wait_for(asyncio.get_running_loop().run_in_executor(None, call, *words), SHORT_S)
 
 
-async def play(deployment: Deployment, xmpp: XmppDeployment, link: Link) -> list[str]:
+async def play(deployment: Deployment, xmpp: XmppDeployment, link: LinkProcess) -> list[str]:
     """What the client heard, once it has heard all."""
     client = slixmpp.ClientXMPP(f"ada@{DOMAIN}/phone", "lovelace")
     client.ca_certs = CERTIFICATE
@@ -60,7 +60,7 @@
     for number in range(10):
         client.send_message(slixmpp.JID(DOMAIN), f"up {number}")
         relay.send(b"<message><body>down %d</body></message>" % number)
-    await in_thread(link.tell, "cut", "cut")
+    await in_thread(link.send_command, "cut", "cut")
     await comes("disconnected")
     for number in range(10, 20):
         relay.send(b"<message><body>down %d</body></message>" % number)
@@ -77,11 +77,11 @@
 
 
 def test_slixmpp_resumes_its_session_after_a_connection_loss(
-    deployment: Deployment, links: Callable[..., Link]
+    deployment: Deployment, start_link: Callable[..., LinkProcess]
 ) -> None:
     xmpp = XmppDeployment(deployment, mechanisms='mechanisms = ["SCRAM-SHA-256"]')
-    link = links(xmpp.port, "--delay-ms", "5")
+    link = start_link(xmpp.port, "--delay-ms", "5")
     heard = asyncio.run(play(deployment, xmpp, link))
-    assert heard == [f"down {number}" for number in range(20)] and not asked(deployment)
+    assert heard == [f"down {number}" for number in range(20)] and not has_pending_attempt(deployment)
     counts = xmpp.node.read_counters()
     assert counts["relays"] == 1 and counts["edge_resumed"] + counts.get("edge_taken_over", 0) == 1
