--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -336,10 +336,10 @@
 
     def read_counters(self) -> dict[str, int]:
         """Returns the counters that the node logs on SIGUSR1, the signal that operators use."""
-        before = self.log_path.read_text().count("counts: ")
+        before = self.log_path.read_text().count("counters=")
         self.process.send_signal(signal.SIGUSR1)
-        self.wait_for_log("counts: ", before + 1)
-        output = self.log_path.read_text().rsplit("counts: ", 1)[1].split("\n")[0]
+        self.wait_for_log("counters=", before + 1)
+        output = self.log_path.read_text().rsplit("counters=", 1)[1].split("\n")[0]
         items = [item.split("=") for item in output.split() if item != "none"]
         return {name: int(count) for name, count in items}
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -409,4 +409,4 @@
 
 
 def test_the_counters_are_printed_as_often_as_is_set(deployment: Deployment) -> None:
-    deployment.start(edge="[counters]\nevery_s = 1\n").wait_for_log("counts: ", 2)
+    deployment.start(edge="[counters]\nevery_s = 1\n").wait_for_log("counter totals counters=", 2)
