--- a/puffinpost/frontends/mqtt/connection.py
+++ b/puffinpost/frontends/mqtt/connection.py
@@ -123,7 +123,7 @@
     def _on_protocol_error(self, error: MqttError) -> None:
         self.coordinator.counters.add("mqtt_bad_packets")
         peer = log.format_peer(self.connection.peer)
-        log.info(f"bad packet from an MQTT client at {peer}: {error}", high_volume=True)
+        log.info("invalid packet from an MQTT client", high_volume=True, peer=peer, reason=error)
         if self.session is None and self.parser.version:
             self._refuse(error.reason)
         else:
--- a/puffinpost/frontends/mqtt/publish_handler.py
+++ b/puffinpost/frontends/mqtt/publish_handler.py
@@ -122,7 +122,7 @@
             opening, request = self._parse(packet.payload, peer)
         except lines.LineError as error:
             self._counters.add("bad_lines")
-            log.info(f"bad line from a device at {log.format_peer(peer)}: {error}", high_volume=True)
+            log.info("invalid line from a device", high_volume=True, peer=log.format_peer(peer), reason=error)
             return PublishResult(ReasonCode.PAYLOAD_INVALID, str(error))
         if opening.request_id == session.last_request.request_id:
             session.join_request(reply_topic, correlation_data)
--- a/puffinpost/frontends/platform/session.py
+++ b/puffinpost/frontends/platform/session.py
@@ -240,7 +240,7 @@
         """Closes a connection whose client sent invalid input. None of the input reaches an endpoint."""
         self.coordinator.counters.add("bad_lines")
         peer = log.format_peer(self.connection.peer)
-        log.info(f"bad line from a client at {peer}: {problem}", high_volume=True)
+        log.info("invalid line from a client", high_volume=True, peer=peer, reason=problem)
         if self.exchange is not None and not self.closed:
             self.coordinator.client_disconnected(self.exchange)
         self._close_with(lines.FAILED)
--- a/puffinpost/frontends/platform/upstream.py
+++ b/puffinpost/frontends/platform/upstream.py
@@ -123,7 +123,7 @@
         except lines.LineError as error:
             self.coordinator.counters.add("bad_answers")
             name = self.coordinator.endpoint_list.name(self.attempt.endpoint)
-            log.info(f"bad line from transcriber {name}: {error}", high_volume=True)
+            log.info("invalid line from an endpoint", high_volume=True, endpoint=name, reason=error)
             self.on_internal_error()
 
     def connection_lost(self, reset: bool) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -16,11 +16,12 @@
 from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
 
 
-def named(node: NodeProcess, peer: SocketPeer) -> str:
-    """What the log says of this peer."""
+def named(node: NodeProcess, peer: SocketPeer, separator: str = " reason=") -> str:
+    """Returns the reason that the log gives for rejecting this peer's input."""
     host, port = peer.socket.getsockname()
-    node.wait_for_log(f"{host}:{port}: ")
-    return node.log_path.read_text().split(f"{host}:{port}: ")[1].split("\n")[0]
+    address = f"{host}:{port}{separator}"
+    node.wait_for_log(address)
+    return node.log_path.read_text().split(address)[1].split("\n")[0]
 
 
 def unhurt(deployment: Deployment, node: NodeProcess) -> None:
@@ -57,7 +58,7 @@
     front = XmppDeployment(deployment)
     peer = front.connect(STREAM_HEADER + b"<a></b>")
     peer.read_until(b"</stream:stream>")
-    assert named(front.node, peer).startswith("not-well-formed")
+    assert named(front.node, peer, ": ").startswith("not-well-formed")
     assert front.node.read_counters()["xmpp_bad_streams"] == 1 and front.node.process.poll() is None
 
 
@@ -76,7 +77,7 @@
     peer, _ = front.connect_and_bind()
     peer.send(open_request(2000, "other"))
     assert b"<bad-request" in peer.read_until(b"</iq>")
-    assert named(front.node, peer) and front.node.read_counters()["bad_lines"] == 1
+    assert named(front.node, peer, ": ") and front.node.read_counters()["bad_lines"] == 1
 
 
 @pytest.mark.parametrize("stands", [False, True])
@@ -91,7 +92,7 @@
         assert client.read_line() == b"UP 1\r\n"
     relay.send(b"x" * 5000)
     name = f"s-{deployment.endpoints.index(server)}"
-    node.wait_for_log(f"bad line from transcriber {name}: ")
+    node.wait_for_log(f"invalid line from an endpoint endpoint={name} reason=")
     assert node.read_counters()["bad_answers"] == 1 and relay.wait_for_close() in ("end", "reset")
     if stands:
         assert client.wait_for_close() == "reset"
@@ -106,5 +107,5 @@
     for _ in range(100):
         assert node.connect(b"GARBAGE\r\n").read_line() == b"ERR\r\n"
     assert node.read_counters()["bad_lines"] == 100
-    said = len(re.findall("bad line from a client at", node.log_path.read_text()))
+    said = len(re.findall("invalid line from a client peer=", node.log_path.read_text()))
     assert 1 <= said <= MAX_HIGH_VOLUME_LINES_PER_SECOND * (time.monotonic() - began + 2)
