--- a/puffinpost/frontends/xmpp/connection.py
+++ b/puffinpost/frontends/xmpp/connection.py
@@ -47,7 +47,7 @@
             self.coordinator.counters.add("xmpp_bad_streams")
             peer = log.format_peer(self.connection.peer)
             log.info(
-                "invalid XMPP stream from a client", high_volume=True, peer=peer, reason=self.stream.failure
+                "invalid stream from an XMPP client", high_volume=True, peer=peer, reason=self.stream.failure
             )
         if not self._header_received and self.stream.header_sent and not self.stream.ended:
             self._header_received = True
--- a/puffinpost/frontends/xmpp/stanza_handler.py
+++ b/puffinpost/frontends/xmpp/stanza_handler.py
@@ -109,7 +109,7 @@
     def _refuse_bad_request(self, element: xmpp.Element, error: BadRequestError) -> None:
         self._session.coordinator.counters.add("bad_lines")
         peer = log.format_peer(self._session.peer)
-        log.info("invalid XMPP session request from a client", high_volume=True, peer=peer, reason=error)
+        log.info("invalid session request from an XMPP client", high_volume=True, peer=peer, reason=error)
         text = f"<text xmlns='{xmpp.STANZA_ERRORS}' xml:lang='en'>{xmpp.escape(str(error))}</text>"
         self._refuse(element, "modify", "bad-request", text)
 
