--- a/puffinpost/frontends/xmpp/connection.py
+++ b/puffinpost/frontends/xmpp/connection.py
@@ -64,7 +64,7 @@
     def connection_lost(self, reset: bool) -> None:
         """The client has closed or reset the connection without closing its stream."""
         self.stream.ended = True
-        self._release(reset, may_resume=True)
+        self._release(reset, can_resume=True)
 
     def on_internal_error(self) -> None:
         """An unexpected exception ends the request under way and the stream."""
@@ -108,7 +108,7 @@
     def stream_over(self, clean: bool) -> None:
         """The stream has ended and its last bytes are written: closes the connection."""
         del clean
-        self._release(False, may_resume=self._is_handed_over)
+        self._release(False, can_resume=self._is_handed_over)
         self.connection.close()
 
     def stream_stanza(self, stanza: xmpp.Stanza) -> None:
@@ -144,7 +144,7 @@
     def reset(self) -> None:
         """Resets the connection without closing the stream."""
         self.stream.ended = True
-        self._release(True, may_resume=False)
+        self._release(True, can_resume=False)
         self.connection.close(True)
 
     # Implementation.
@@ -187,9 +187,9 @@
         self.connection.write(f"<resumed xmlns='{xmpp.STREAM_MANAGEMENT}' {attributes}/>".encode())
         session.attach(self)
 
-    def _release(self, reset: bool, may_resume: bool) -> None:
+    def _release(self, reset: bool, can_resume: bool) -> None:
         self.frontend.connections.discard(self)
         self.frontend.admission.release(self)
         session, self.session = self.session, None
         if session is not None:
-            session.detach(self, reset, may_resume)
+            session.detach(self, reset, can_resume)
--- a/puffinpost/frontends/xmpp/session.py
+++ b/puffinpost/frontends/xmpp/session.py
@@ -26,9 +26,7 @@
     from puffinpost.frontends.xmpp.frontend import XmppFrontend
 
 MAX_BUFFERED_BYTES = 8 * 1024  # of messages before the session is established; above it, reading is paused
-STANZAS_PER_ACK_REQUEST = (
-    16  # sent with stream management between two requests for an acknowledgement (XEP-0198, 4)
-)
+STANZAS_PER_ACK_REQUEST = 16  # to a managed client, between requests for an acknowledgement (XEP-0198, 4)
 
 
 class XmppSession(ResumableClient["XmppConnection", XmppUpstream]):
@@ -65,12 +63,12 @@
         self._connect_flow_control()
         self.flush()
 
-    def detach(self, connection: XmppConnection, reset: bool, may_resume: bool) -> None:
+    def detach(self, connection: XmppConnection, reset: bool, can_resume: bool) -> None:
         """Detaches a connection. The session stays if it may be resumed, and ends otherwise."""
         if self.connection is connection:
             self.connection = None
         resumable = self.resumable
-        if resumable is not None and may_resume and resumable.grace_ns:
+        if resumable is not None and can_resume and resumable.grace_ns:
             now = self.coordinator.clock.now()
             is_detached = self.frontend.registry.detach(resumable, connection.generation, now)
             if is_detached and self.exchange is not None:
--- a/puffinpost/frontends/xmpp/upstream.py
+++ b/puffinpost/frontends/xmpp/upstream.py
@@ -54,9 +54,7 @@
         self.connection: Connection | None = None
         self.stream = ClientStream(self, config.client)
         self.iq_id = f"open-{attempt.exchange.number}-{attempt.number}"
-        self.final_result = (
-            AttemptResult.RESET
-        )  # until the endpoint announces another result before it closes
+        self.final_result = AttemptResult.RESET  # unless the endpoint reports another before it closes
 
     # UpstreamHandler: called by the connector.
 
--- a/puffinpost/resumption/errors.py
+++ b/puffinpost/resumption/errors.py
@@ -21,7 +21,7 @@
 
 
 class RegistryFullError(PuffinpostError):
-    """The registry has no capacity for another session."""
+    """There is no capacity for another session."""
 
 
 class ResumeError(PuffinpostError):
--- a/puffinpost/resumption/registry.py
+++ b/puffinpost/resumption/registry.py
@@ -188,7 +188,7 @@
     def _schedule_expiry(self, session: ResumableSession) -> None:
         """Adds the session to the heap, unless an earlier check of it is already scheduled.
 
-        This bounds the heap when a connection is lost and resumed repeatedly.
+        This bounds the heap when a session is detached and resumed repeatedly.
         """
         expires_ns = session.expires_ns
         if expires_ns is None:
--- a/tests/test_resumption.py
+++ b/tests/test_resumption.py
@@ -113,7 +113,7 @@
             lambda size: next(random_numbers).to_bytes(size, "big"),
         )
 
-    def resume_error(self, token: str, user: str, address: str = "a", now: int = 0) -> ResumeError:
+    def refusal(self, token: str, user: str, address: str = "a", now: int = 0) -> ResumeError:
         with pytest.raises(ResumeError) as raised:
             self.registry.find_by_token(token, user, address, now)
         return raised.value
@@ -126,9 +126,9 @@
     assert len(token) == 48 and harness.registry.find_by_token(token, "ada", "a", 0) is session
     session.count_handled(7)
     errors = [
-        harness.resume_error(token, "eve"),
-        harness.resume_error("0" * 47 + "9", "ada"),
-        harness.resume_error("é" * 9999, "ada"),
+        harness.refusal(token, "eve"),
+        harness.refusal("0" * 47 + "9", "ada"),
+        harness.refusal("é" * 9999, "ada"),
     ]
     assert [(error.reason, error.handled_count) for error in errors] == [
         (RefusalReason.OTHER_USER, None),
@@ -136,27 +136,27 @@
         (RefusalReason.UNKNOWN, None),
     ]
     harness.registry.end(session)
-    ended, foreign = harness.resume_error(token, "ada"), harness.resume_error(token, "eve")
+    ended, foreign = harness.refusal(token, "ada"), harness.refusal(token, "eve")
     assert (ended.reason, ended.handled_count, foreign.handled_count) == (RefusalReason.ENDED, 7, None)
     other = harness.registry.begin("ada")
     old, new = harness.registry.issue_token(other), harness.registry.issue_token(other)
-    assert harness.resume_error(
-        old, "ada"
-    ).reason is RefusalReason.UNKNOWN and harness.registry.find_by_token(new, "ada", "a", 0)
+    assert harness.refusal(old, "ada").reason is RefusalReason.UNKNOWN and harness.registry.find_by_token(
+        new, "ada", "a", 0
+    )
 
 
 def test_failed_resumptions_are_limited_per_address_in_bounded_memory() -> None:
     harness = RegistryHarness(refusals_per_minute=3)
     token = harness.registry.issue_token(harness.registry.begin("ada"))
-    reasons = [harness.resume_error("x", "eve", "bad", 0).reason for _ in range(5)]
+    reasons = [harness.refusal("x", "eve", "bad", 0).reason for _ in range(5)]
     assert reasons == [RefusalReason.UNKNOWN] * 3 + [RefusalReason.THROTTLED] * 2
-    assert harness.resume_error(token, "ada", "bad", 0).reason is RefusalReason.THROTTLED
+    assert harness.refusal(token, "ada", "bad", 0).reason is RefusalReason.THROTTLED
     assert harness.registry.find_by_token(token, "ada", "good", 0)
     assert harness.registry.find_by_token(token, "ada", "bad", 20 * S), (
         "the token bucket is refilled over a minute"
     )
     for number in range(10_000):
-        harness.resume_error("x", "eve", str(number), S)
+        harness.refusal("x", "eve", str(number), S)
     assert len(harness.registry._failed_attempts._buckets) <= 4096
 
 
