--- a/puffinpost/net/admin_server.py
+++ b/puffinpost/net/admin_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for operators: one request to a connection, and a fixed number of requests at a time.
+"""The HTTP server for operators: one request per connection, and a limited number of requests at a time.
 
 ``admin.commands`` answers complete requests; this module limits connections and time.
 """
@@ -15,9 +15,9 @@
 from puffinpost.observability import log
 from puffinpost.protocol.http import AdminResponse, HttpError, Request, RequestParser
 
-# A request is not evicted before this age: its bytes may be in flight.
+# A request is not evicted before this age, since its bytes may still be in flight.
 MIN_REQUEST_AGE_S = 0.02
-REQUEST_TIMEOUT_S = 5.0  # from the connection to a complete request
+REQUEST_TIMEOUT_S = 5.0  # from accepting the connection to a complete request
 BUSY = AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "no room for another call\n")
 
 
@@ -32,11 +32,11 @@
         self.respond = respond
         self.call_later = call_later
         self.connections: dict[Connection, None] = {}  # the oldest first
-        self.incomplete: dict[AdminRequest, float] = {}  # by time of connection, in seconds
+        self.incomplete: dict[AdminRequest, float] = {}  # with the time of the accept, in seconds
         self.closing: dict[Connection, None] = {}
 
     def can_accept(self) -> bool:
-        """Whether one more connection may be accepted; it waits in the kernel where not."""
+        """Whether another connection may be accepted. If not, it waits in the kernel's queue."""
         return (
             len(self.connections) < MAX_ADMIN_REQUESTS
             or bool(self.closing)
@@ -44,7 +44,7 @@
         )
 
     def accept(self, connection: Connection) -> AdminRequest:
-        """Accepts a connection; evicts one that is closing or incomplete where the limit is reached."""
+        """Accepts a connection. At the limit, it first evicts a closing or incomplete one."""
         if len(self.connections) >= MAX_ADMIN_REQUESTS:
             if self.closing:
                 next(iter(self.closing)).stream.close()
@@ -57,15 +57,15 @@
         return request
 
     def reject(self, connection: socket.socket) -> None:
-        """Answers a connection that only the spare descriptor is available for."""
+        """Answers a connection that could only be accepted on the spare descriptor."""
         connection.send(BUSY.encode())
 
     def connection_closing(self, connection: Connection) -> None:
-        """The response is written, and the operator has not closed yet."""
+        """Records that the response is written and the operator has not closed the connection yet."""
         self.closing[connection] = None
 
     def connection_closed(self, connection: Connection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection."""
         self.closing.pop(connection, None)
         self.connections.pop(connection, None)
 
@@ -79,7 +79,7 @@
 
 
 class AdminRequest:
-    """One connection with its request."""
+    """The request of one connection."""
 
     def __init__(self, server: AdminServer, connection: Connection) -> None:
         self.server = server
@@ -102,14 +102,14 @@
             self._send(AdminResponse(HTTPStatus.REQUEST_TIMEOUT, "no whole call came\n"))
 
     def evict(self) -> None:
-        """Closes immediately, for a newer connection."""
+        """Closes the connection immediately, so that a newer one can be accepted."""
         log.info("admin server evicted an incomplete request", often=True)
         self.connection.write(BUSY.encode())
         del self.server.incomplete[self]
         self.connection.stream.close()
 
-    def connection_lost(self, reset: bool) -> None:  # noqa: ARG002 (the argument is the protocol's)
-        """The operator has disconnected."""
+    def connection_lost(self, reset: bool) -> None:  # noqa: ARG002 (part of `Receiver`)
+        """Removes the request of an operator who has disconnected."""
         self.server.incomplete.pop(self, None)
 
     def on_internal_error(self) -> None:
--- a/puffinpost/net/admission.py
+++ b/puffinpost/net/admission.py
@@ -1,8 +1,9 @@
-"""Limits the descriptors that clients' connections use, across all front ends.
+"""Limits the descriptors that clients' connections use, across all frontends.
 
-A connection is pending until its first message, then belongs to a session, which needs a second descriptor
-for its upstream connection; it is idle where it may stay without a session, and closing until the client has
-read the final response. Front ends report each change; this module closes none that belongs to a session.
+A connection is pending until its first message. Then it belongs to a session, which needs a second descriptor
+for its upstream connection. A connection that may stay open without a session is idle, and one whose client
+has not read the final response yet is closing. Frontends report each change; this module closes no connection
+that belongs to a session.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 # A first line may take 2 s to write, and a client that cannot be served must be answered within 3 s.
 FIRST_MESSAGE_TIMEOUT_S = 2.6
-# A pending connection is not evicted so soon after its last input: more may be in flight.
+# A pending connection is not evicted this soon after its last input, as more may be in flight.
 MIN_PENDING_AGE_S = 0.1
 SWEEP_INTERVAL_S = 0.1
 # This fraction of the descriptors is reserved for pending and closing connections.
@@ -27,14 +28,14 @@
 
 
 class AdmittedConnection(Protocol):
-    """A pending or idle connection of a front end. Any object may identify a session."""
+    """A pending or idle connection of a frontend. Any object may identify a session."""
 
     def on_timeout(self) -> None:
-        """The time limit has passed, or the descriptor is needed: answer and close."""
+        """Answers and closes the connection: its time limit has passed, or its descriptor is needed."""
 
 
 class ConnectionAdmission:
-    """Counts the descriptors of clients' connections, and evicts the least needed above the limit."""
+    """Counts the descriptors that clients' connections use, and evicts the least needed above the limit."""
 
     def __init__(
         self,
@@ -51,14 +52,12 @@
         self._started: set[AdmittedConnection] = set()  # pending connections that have sent something
         self._idle_deadlines: dict[AdmittedConnection, float] = {}  # the most recent last
         self._sessions: set[Any] = set()
-        self._detached: set[Any] = (
-            set()
-        )  # sessions whose client is disconnected; the upstream connection remains
+        self._detached: set[Any] = set()  # sessions that have an upstream connection but no client
         self._call_later = call_later
         self._sweep()
 
     def can_accept(self) -> bool:
-        """Whether one more connection may be accepted. Where not, it waits in the kernel for a moment."""
+        """Whether another connection may be accepted. If not, it waits briefly in the kernel's queue."""
         return (
             self.descriptors_used < self.limit
             or bool(self.closing or self._idle_deadlines)
@@ -68,21 +67,21 @@
     def admit_pending(
         self, connection: AdmittedConnection, timeout_s: float = FIRST_MESSAGE_TIMEOUT_S
     ) -> None:
-        """A client has connected, or has started a message that it must complete within ``timeout_s``."""
+        """Adds a client that has connected, or has started a message, with ``timeout_s`` to complete it."""
         now = time.monotonic()
         self.release(connection)
         self._pending_deadlines[connection], self._last_progress[connection] = now + timeout_s, now
         self._evict_excess(now)
 
     def on_progress(self, connection: AdmittedConnection) -> None:
-        """A client has sent something: connections without progress are evicted before it."""
+        """Records that a client has sent something: connections without progress are evicted before it."""
         if connection in self._pending_deadlines:
             self._pending_deadlines[connection] = self._pending_deadlines.pop(connection)
             self._last_progress[connection] = time.monotonic()
             self._started.add(connection)
 
     def mark_idle(self, connection: AdmittedConnection, timeout_s: float = math.inf) -> None:
-        """The client awaits no response, and its connection may stay open for ``timeout_s``."""
+        """Records that a client awaits no response: its connection may stay open for ``timeout_s``."""
         now = time.monotonic()
         self.release(connection)
         self._idle_deadlines[connection] = now + timeout_s
@@ -91,7 +90,7 @@
         self._evict_excess(now)
 
     def reserve_session(self, session: Any) -> bool:
-        """Reserves a session and its upstream connection for a request; False where none is available."""
+        """Reserves descriptors for a session and its upstream connection. False if too few are left."""
         # Detached sessions count in full: their clients may reconnect at any moment.
         if 2 * (len(self._sessions) + len(self._detached) + 1) > self.session_limit:
             self.counters.add("no_room")
@@ -102,27 +101,27 @@
         return True
 
     def mark_detached(self, session: Any) -> None:
-        """A session's client is disconnected; its upstream connection keeps its descriptor."""
+        """Records that a session's client has disconnected; the upstream connection keeps its descriptor."""
         if session in self._sessions:
             self._sessions.discard(session)
             self._detached.add(session)
 
     def mark_reattached(self, session: Any) -> None:
-        """The client of a detached session has reconnected."""
+        """Records that the client of a detached session has reconnected."""
         if session in self._detached:
             self._detached.discard(session)
             self._sessions.add(session)
             self._evict_excess(time.monotonic())
 
     def adopt_session(self, session: Any) -> None:
-        """Adds a session that the previous process of this node had reserved."""
+        """Adds a session that the predecessor of this process had reserved, without checking the limit."""
         self._sessions.add(session)
         self._evict_excess(time.monotonic())
 
     def set_predecessor_usage(self, descriptors: int) -> None:
-        """Subtracts the descriptors that the previous process of this node uses from the limits.
+        """Subtracts the descriptors that the predecessor of this process still uses from the limits.
 
-        Pending and idle connections may be evicted for it; sessions are not.
+        Pending and idle connections may be evicted to meet the new limits; sessions are not.
         """
         self.limit = max(0, self.max_descriptors - descriptors)
         self.session_limit = self.limit - max(4, self.limit // RESERVED_DIVISOR)
@@ -130,17 +129,17 @@
 
     @property
     def has_started_requests(self) -> bool:
-        """Whether a pending client has sent part of its first message."""
+        """Whether any pending client has sent part of its first message."""
         return bool(self._started)
 
     @property
     def descriptors_used(self) -> int:
-        """How many descriptors the north side holds, relays included."""
-        passing = len(self._pending_deadlines) + len(self._idle_deadlines) + len(self.closing)
-        return passing + 2 * len(self._sessions) + len(self._detached)
+        """The number of descriptors that clients and the upstream connections of their sessions use."""
+        without_session = len(self._pending_deadlines) + len(self._idle_deadlines) + len(self.closing)
+        return without_session + 2 * len(self._sessions) + len(self._detached)
 
     def release(self, connection: Any) -> None:
-        """A client's connection is over, or changes its kind."""
+        """Removes a connection or session that has ended or changes its state."""
         self._pending_deadlines.pop(connection, None)
         self._last_progress.pop(connection, None)
         self._started.discard(connection)
@@ -149,22 +148,22 @@
         self._detached.discard(connection)
 
     def close_idle(self, kind: type) -> None:
-        """The process ends: those of a kind that rest have their last word."""
+        """Answers and closes all idle connections of one type, at the shutdown of the process."""
         for connection in [connection for connection in self._idle_deadlines if isinstance(connection, kind)]:
             self._time_out(connection)
 
     def close_pending(self) -> None:
-        """The process ends: those that have not said what they want have their last word."""
+        """Answers and closes all connections without a complete first message, at shutdown."""
         for connection in list(self._pending_deadlines):
             self._time_out(connection)
 
     def connection_closing(self, connection: Connection) -> None:
-        """A connection is being closed, and waits for its client to read the answer."""
+        """Records that a connection is being closed and waits for its client to read the answer."""
         self.closing[connection] = None
         self._evict_excess(time.monotonic())
 
     def connection_closed(self, connection: Connection) -> None:
-        """A connection is closed."""
+        """Removes a closed connection."""
         self.closing.pop(connection, None)
 
     def _evict_excess(self, now: float) -> None:
--- a/puffinpost/net/connection.py
+++ b/puffinpost/net/connection.py
@@ -1,7 +1,7 @@
 """A connection on an IOStream: passes input to a receiver, writes in order, starts TLS and closes.
 
-Front ends, upstream handlers and clients of other services own connections. A connection knows no protocol;
-it bounds what it buffers for a peer that does not read.
+Frontends, upstream handlers and clients of other services own connections. A connection is independent of the
+protocol. It limits what it buffers for a peer that does not read.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from puffinpost.net.tls import HANDSHAKE_TIMEOUT_S, TlsUpgrade, peer_common_name
 from puffinpost.observability import log
 
-# With more unsent than this, no more input is read for the peer. Each side of a session thus buffers at most
-# this and one chunk, whatever the peers do: a few MB for 100 sessions.
+# Above this number of unsent bytes, no more input is read for the peer. So each side of a session buffers at
+# most this and one chunk, whatever the peers do: a few MB for 100 sessions.
 MAX_UNSENT_BYTES = 16 * 1024
 LINGER_TIMEOUT_S = 1.0
 MAX_DISCARDED_BYTES = 256 * 1024  # input read after the last write; a peer that sends more is disconnected
 
-# A closed stream, a failed or late TLS handshake, and an unreachable host are all of this type.
+# The type of the errors for a closed stream, a failed or late TLS handshake, and an unreachable host.
 CONNECTION_ENDED = OSError
 
 
 class Receiver(Protocol):
-    """Receives a connection's input. It knows no socket.
+    """Receives a connection's input, without access to the socket.
 
     A receiver that also has ``on_input_ended`` is an ``InputEndReceiver``.
     """
@@ -40,31 +40,31 @@
         """Handles received bytes."""
 
     def connection_lost(self, reset: bool) -> None:
-        """The peer has closed or reset the connection. Not called after a close from this end."""
+        """Called when the peer has closed or reset the connection, but not after a close from this end."""
 
     def on_internal_error(self) -> None:
-        """``data_received`` raised an exception: the connection is to be answered and closed."""
+        """Answers and closes the connection, after ``data_received`` raised an exception."""
 
 
 @runtime_checkable
 class InputEndReceiver(Protocol):
-    """A receiver that answers when the peer has shut down its side."""
+    """A receiver that can still answer when the peer has shut down its side."""
 
     def on_input_ended(self) -> None:
-        """The peer sends no more, and can still be written to."""
+        """Called when the peer sends no more and can still be written to."""
 
 
 class ConnectionTracker(Protocol):
     """Counts connections, to limit the descriptors that they use."""
 
     def can_accept(self) -> bool:
-        """Whether one more connection may be accepted."""
+        """Whether another connection may be accepted."""
 
     def connection_closing(self, connection: Connection) -> None:
-        """All is written and the write side is shut down; remaining input is discarded."""
+        """Called when a connection starts to close: it writes what is unsent and discards its input."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """The connection is closed."""
+        """Called when a connection is closed."""
 
 
 class _PendingTls(NamedTuple):
@@ -75,7 +75,7 @@
 class Connection:
     """A connected stream.
 
-    With a tracker, ``close`` lingers: the peer can read what was written last before the socket is closed.
+    With a tracker, ``close`` lingers: the peer can read the last output before the socket is closed.
     """
 
     def __init__(self, stream: IOStream, tracker: ConnectionTracker | None = None) -> None:
@@ -95,7 +95,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether this end has closed, or the stream has ended."""
+        """Whether this end has closed the connection, or the stream has ended."""
         return self._closing or self.stream.closed()
 
     async def run(self, receiver: Receiver) -> None:
@@ -112,7 +112,7 @@
                 receiver.connection_lost(self.stream.error is not None)
         finally:
             if isinstance(self.stream, EndNotifyingStream):
-                # Breaks the cycle of receiver, connection and stream, which would delay freeing them.
+                # Breaks a reference cycle of receiver, connection and stream, which delays freeing them.
                 self.stream.on_end_of_stream = None
             if self.tracker is not None:
                 self.tracker.connection_closed(self)
@@ -122,12 +122,12 @@
             await self._read_until_closed(receiver)
         except CONNECTION_ENDED:
             raise
-        except Exception:  # noqa: BLE001 (border: a defect met by one connection ends that one only)
+        except Exception:  # noqa: BLE001 (boundary: a defect must end this connection only)
             log.exception("connection ended")
             receiver.on_internal_error()
 
     async def _read_until_closed(self, receiver: Receiver) -> None:
-        if self._pending_tls is not None:  # TLS from the first byte on
+        if self._pending_tls is not None:  # TLS starts with the first byte
             await self._run_handshake(self._pending_tls)
         while not self._closing:
             if not self._reading_allowed.is_set():
@@ -140,10 +140,10 @@
             receiver.data_received(data)
             if self._pending_tls is not None:
                 await self._run_handshake(self._pending_tls)
-            # Bounds what is buffered for a peer that does not read.
+            # Limits what is buffered for a peer that does not read.
             await self.wait_until_writable()
             if self.forward_target is not None:
-                with contextlib.suppress(StreamClosedError):  # its own reading reports that
+                with contextlib.suppress(StreamClosedError):  # the target's own read loop reports that
                     await self.forward_target.wait_until_writable()
             if len(data) == READ_CHUNK_BYTES:
                 # A read that finds bytes at once does not yield: a fast sender would starve the others.
@@ -157,8 +157,8 @@
     async def _discard_input(self) -> None:
         """Reads and drops input while lingering.
 
-        A close with unread input resets the connection, which destroys what the peer has not read yet. The
-        amount is limited by ``MAX_DISCARDED_BYTES``, the time by ``LINGER_TIMEOUT_S``.
+        A close with unread input resets the connection, and the peer then loses what it has not read yet.
+        ``MAX_DISCARDED_BYTES`` limits the amount of input and ``LINGER_TIMEOUT_S`` the time.
         """
         remaining = MAX_DISCARDED_BYTES if self._lingering else 0
         while remaining > 0:
@@ -168,10 +168,10 @@
             self.stream.close()
 
     def start_tls(self, upgrade: TlsUpgrade, on_established: Callable[[str], None]) -> None:
-        """Starts TLS once what was written is sent; no more cleartext is read.
+        """Starts TLS after the output written so far is sent; no more cleartext is read.
 
-        To be called from ``data_received`` or before ``run``. ``on_established`` is called with the common
-        name in the peer's certificate.
+        It must be called from ``data_received`` or before ``run``. ``on_established`` is called with the
+        common name in the peer's certificate.
         """
         self._pending_tls = _PendingTls(upgrade, on_established)
 
@@ -198,10 +198,10 @@
             self._reading_allowed.set()
 
     def write(self, data: bytes) -> None:
-        """Writes, immediately where the kernel accepts it; does nothing on a closed connection."""
+        """Writes data, immediately if the kernel accepts it; does nothing on a closed connection."""
         if self.closed:
             return
-        with contextlib.suppress(StreamClosedError):  # reported by the reading side
+        with contextlib.suppress(StreamClosedError):  # the read loop reports that
             written = self.stream.write(data)
             if not written.done():
                 self.unsent += len(data)
@@ -211,7 +211,7 @@
         self.unsent -= size
 
     async def flushed(self) -> None:
-        """Waits until the kernel has accepted what was written."""
+        """Waits until the kernel has accepted all output."""
         await self.stream.write(b"")
 
     @property
@@ -233,9 +233,9 @@
         self.stream.close()
 
     def abort(self) -> None:
-        """Closes the connection now and drops what the kernel has not accepted yet.
+        """Closes the connection immediately and drops the output that the kernel has not accepted yet.
 
-        A request of which a part is buffered here counts as never sent, so the rest must not be sent later.
+        A request that is partly buffered here counts as never sent, so the rest must not be sent later.
         """
         self._closing = True
         self._reading_allowed.set()
@@ -243,7 +243,7 @@
             self.stream.close()
 
     def close(self, reset: bool = False) -> None:
-        """Closes the connection after what was written is sent, or resets it."""
+        """Closes the connection after all output is sent, or resets it."""
         if self._closing:
             return
         self._closing = True
@@ -259,7 +259,7 @@
             self._close_after_flush()
 
     def _close_after_flush(self) -> None:
-        # TLS has no half-close that a peer could be waited for in.
+        # TLS has no half-close during which to wait for the peer.
         self._lingering = self.tracker is not None and not isinstance(self.stream, SSLIOStream)
         if not self._lingering and not self.stream.writing():
             self.stream.close()
--- a/puffinpost/net/dialing.py
+++ b/puffinpost/net/dialing.py
@@ -15,7 +15,7 @@
 def create_connection(
     address: tuple[str, int], tracker: ConnectionTracker | None = None
 ) -> Connection | None:
-    """An unconnected connection for an address; None where no descriptor is available."""
+    """Returns an unconnected connection for an address, or None if no descriptor is available."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         return Connection(create_stream(socket.socket(family, socket.SOCK_STREAM)), tracker)
@@ -25,20 +25,20 @@
 
 
 async def connect(connection: Connection, address: tuple[str, int], timeout_s: float) -> bool:
-    """Whether the connection was established in time; it is closed where not."""
+    """Connects to an address. Returns False, with the connection closed, if that fails or times out."""
     try:
         await asyncio.wait_for(connection.stream.connect(address), timeout_s)
     except (TimeoutError, StreamClosedError, OSError):
         connection.abort()
         return False
     except asyncio.CancelledError:
-        connection.abort()  # a cancelled call would leave its descriptor open
+        connection.abort()  # else a cancelled call would leave its descriptor open
         raise
     return True
 
 
 async def dial(address: tuple[str, int], timeout_s: float) -> Connection | None:
-    """A connection to an address; None where none was established in time."""
+    """Returns a connection to an address, or None if it could not be established in time."""
     connection = create_connection(address)
     if connection is None or not await connect(connection, address, timeout_s):
         return None
--- a/puffinpost/net/discovery_client.py
+++ b/puffinpost/net/discovery_client.py
@@ -1,7 +1,8 @@
-"""Watches discovery: one long poll after another, on one connection, at the address in force.
+"""Watches discovery: makes one long poll after another, on one connection, to the configured address.
 
-The runtime starts it when the balancer polls the endpoint list, and redirects it when the configuration names
-another discovery. `WatchState` decides each call; endpoint lists and failures go to the coordinator.
+The runtime starts the watch when the balancer polls the endpoint list, and redirects it when the
+configuration names another discovery. `WatchState` decides each call; endpoint lists and failures go to the
+coordinator.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 
 STATUS_OK = 200
 STATUS_OVERLOADED = 503  # the call waited too long in discovery's queue
-MAX_LATE_CALLS = 3  # calls that timed out and are kept open
-CONNECT_TIMEOUT_S = 1.0  # part of the 6 s within which a change has to be known, once discovery is back
+MAX_LATE_CALLS = 3  # calls that timed out and stay open
+CONNECT_TIMEOUT_S = 1.0  # part of the 6 s after which a change counts as known, once discovery is reachable
 MAX_READ_SIZE = 64 * 1024
 NS_PER_S = 1e9
 
 
 class DiscoveryClient:
-    """The watch of one node: runs from ``start`` until a call fails and a backoff is due.
+    """The watch of one node. It runs from ``start`` until a call fails and a backoff is due.
 
-    Then it reports the failure, and the balancer has it started again when the next poll is due.
+    Then it reports the failure, and the balancer starts it again when the next poll is due.
     """
 
     def __init__(
@@ -40,26 +41,26 @@
         address: tuple[str, int],
         watch_state: WatchState,
         index: Callable[[], int],
-        on_list: Callable[[dict[str, Any]], None],
+        on_endpoint_list: Callable[[dict[str, Any]], None],
         on_failure: Callable[[], None],
     ) -> None:
         self.address = address
         self.watch_state = watch_state
         self.index = index
-        self.on_list = on_list
+        self.on_endpoint_list = on_endpoint_list
         self.on_failure = on_failure
         self.trace: Callable[[str], None] | None = None  # takes a line for each call
-        self.last_end: CallFailure | None = None  # of the last watch
+        self.last_failure: CallFailure | None = None  # why the last watch ended
         self._task: asyncio.Task[None] | None = None
-        # Another address and what to call when it is taken, until the time of the redirect has come.
+        # A scheduled redirect: the new address, and the callback for when the client switches to it.
         self._redirect_timer: asyncio.TimerHandle | None = None
         self._redirect_target: tuple[tuple[str, int], Callable[[], None]] | None = None
-        # Calls that timed out stay open until another one is answered: discovery may take this node for
-        # watching still. What it writes on them counts as known to the node, so they are read.
+        # Calls that timed out stay open until another one is answered: discovery may still consider them as
+        # watches. What it writes on them counts as known to the node, so they are read.
         self._late_calls: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Starts the watch, unless it runs already."""
+        """Starts the watch if it is not running."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._run())
 
@@ -69,19 +70,19 @@
         if self._task is not None:
             self._task.cancel()
             self._task = None
-        self._drop_late_calls(0)
+        self._cancel_late_calls(0)
 
     @property
     def running(self) -> bool:
-        """Whether the watch runs."""
+        """Whether the watch is running."""
         return self._task is not None
 
     def redirect(
         self, address: tuple[str, int], after_ns: int = 0, on_redirected: Callable[[], None] = lambda: None
     ) -> None:
-        """Watches at another address ``after_ns`` from now, or as soon as the watch at the old one ends.
+        """Switches to another address ``after_ns`` from now, or as soon as the watch at the old one ends.
 
-        ``on_redirected`` is called then. The pending call is dropped: the new discovery has its changes too.
+        ``on_redirected`` is called then. The pending call is dropped: the new discovery has the changes too.
         """
         if self._redirect_target is not None and self._redirect_target[0] == address:
             return
@@ -98,43 +99,43 @@
             self._redirect_now()
 
     def _cancel_redirect(self) -> None:
-        """Forgets the redirect that is to come."""
+        """Cancels the scheduled redirect."""
         if self._redirect_timer is not None:
             self._redirect_timer.cancel()
         self._redirect_timer = self._redirect_target = None
 
-    def _take_redirect(self) -> bool:
-        """Takes the address of the redirect that is to come. Returns False if there is none."""
+    def _apply_redirect(self) -> bool:
+        """Switches to the address of the scheduled redirect. Returns False if there is none."""
         if self._redirect_target is None:
             return False
         self.address, on_redirected = self._redirect_target
         self._cancel_redirect()
-        self._drop_late_calls(0)
+        self._cancel_late_calls(0)
         self.watch_state.on_redirect()
         on_redirected()
         return True
 
     def _redirect_now(self) -> None:
-        self._take_redirect()
+        self._apply_redirect()
         if self._task is not None:
             self._task.cancel()
             self._task = None
         self.start()
 
-    def _drop_late_calls(self, max_kept: int) -> None:
-        while len(self._late_calls) > max_kept:
+    def _cancel_late_calls(self, max_open: int) -> None:
+        while len(self._late_calls) > max_open:
             self._late_calls.pop(0).cancel()
 
     async def _run(self) -> None:
-        self.last_end = await self._watch()
+        self.last_failure = await self._watch()
         # The old discovery accepts no new connection once a redirect is configured.
-        while self._take_redirect() or self.watch_state.on_call_failed(self.last_end):
-            self.last_end = await self._watch()
+        while self._apply_redirect() or self.watch_state.on_call_failed(self.last_failure):
+            self.last_failure = await self._watch()
         self._task = None
         self.on_failure()
 
     async def _watch(self) -> CallFailure:
-        """Calls until one ends without an answer; returns how."""
+        """Makes calls until one has no answer. Returns why it has none."""
         connection: Connection | None = None
         try:
             while True:
@@ -150,7 +151,7 @@
                     connection = None  # `_read_late` closes it
                     return CallFailure.TIMED_OUT
                 if response.status != STATUS_OK:
-                    return _end_of_status(response.status)
+                    return _failure_of_status(response.status)
                 pause_ns = self._on_response(response, began_ns)
                 if not response.keep_alive:
                     connection.close()
@@ -162,7 +163,7 @@
         except (StreamClosedError, OSError, ValueError) as problem:
             log.info("discovery call failed", reason=f"{type(problem).__name__} {problem}")
         except Exception:  # noqa: BLE001
-            # A border: a defect must not end the watch for ever. The next call follows after a backoff.
+            # Boundary: a defect must not end the watch for good. The next call follows after a backoff.
             log.exception("discovery")
         finally:
             if connection is not None:
@@ -170,18 +171,18 @@
         return CallFailure.FAILED
 
     def _on_response(self, response: http.Response, began_ns: int) -> int:
-        """Passes the endpoint list on. Returns the pause before the next call, in ns."""
+        """Passes on the endpoint list. Returns the pause before the next call, in ns."""
         answer = endpoint_list.parse(response.body)
         index_before, index = self.index(), answer.get("index")
-        self.on_list(answer)
-        self._drop_late_calls(0)
+        self.on_endpoint_list(answer)
+        self._cancel_late_calls(0)
         now_ns = time.monotonic_ns()
         has_changes = bool(answer.get("endpoints"))
         is_outdated = isinstance(index, int) and index < index_before
         return self.watch_state.on_answer(has_changes, now_ns - began_ns, now_ns, is_outdated)
 
     async def _call(self, connection: Connection) -> http.Response | None:
-        """Makes the next call. Returns None if it times out; its answer is then awaited in the background."""
+        """Makes the next call. Returns None if it times out; a task then waits for its answer."""
         call = self.watch_state.next_call(self.index(), time.monotonic_ns())
         query = "" if call.after is None else f"?after={call.after}&wait_ms={call.wait_ms}"
         request = http.encode_get(f"/api/targets{query}", f"{self.address[0]}:{self.address[1]}")
@@ -192,7 +193,7 @@
             done, _ = await asyncio.wait({answer}, timeout=call.timeout_ns / NS_PER_S)
             if not done:
                 self._late_calls.append(loop.create_task(self._read_late(connection, answer)))
-                self._drop_late_calls(MAX_LATE_CALLS)
+                self._cancel_late_calls(MAX_LATE_CALLS)
                 return None
             response = answer.result()
             outcome = f"{response.status} size={len(response.body)}"
@@ -217,20 +218,20 @@
         try:
             response = await answer
             if response.status == STATUS_OK:
-                self.on_list(endpoint_list.parse(response.body))
-                # The balancer waits for the next answer now that a list has come, so the watch has to run.
+                self.on_endpoint_list(endpoint_list.parse(response.body))
+                # After a list the balancer expects the watch to be running, and starts no other poll.
                 self.start()
         except (StreamClosedError, OSError, ValueError, TimeoutError):
-            pass  # nobody waits for it any more
+            pass  # nothing depends on this call any more
         except Exception:  # noqa: BLE001
-            # A border: the task has no caller that could handle a defect.
+            # Boundary: the task has no caller that could handle a defect.
             log.exception("discovery")
         finally:
             answer.cancel()
             connection.close()
 
 
-def _end_of_status(status: int) -> CallFailure:
+def _failure_of_status(status: int) -> CallFailure:
     log.info("discovery call failed", status=status)
     return CallFailure.OVERLOADED if status == STATUS_OVERLOADED else CallFailure.FAILED
 
@@ -238,11 +239,11 @@
 async def _exchange(stream: IOStream, request: bytes) -> http.Response:
     """Writes a request and reads the response. Raises ``TimeoutError`` if it starts but does not end."""
     await stream.write(request)
-    first = await _read_some(stream)
+    first = await _read_chunk(stream)
     return await asyncio.wait_for(_read_response(stream, first), RESPONSE_BODY_TIMEOUT_NS / NS_PER_S)
 
 
-async def _read_some(stream: IOStream) -> bytes:
+async def _read_chunk(stream: IOStream) -> bytes:
     return await stream.read_bytes(MAX_READ_SIZE, partial=True)
 
 
@@ -251,7 +252,7 @@
     parser = http.ResponseParser()
     while (response := parser.feed(data)) is None:
         try:
-            data = await _read_some(stream)
+            data = await _read_chunk(stream)
         except StreamClosedError:
             return parser.end()
     return response
--- a/puffinpost/net/event_loop.py
+++ b/puffinpost/net/event_loop.py
@@ -2,13 +2,13 @@
 
 asyncio wakes its selector from other threads and from signal handlers by writing a byte to a "self-pipe",
 which on Linux is ``socket.socketpair()``: two ``AF_UNIX`` sockets. A fleet's nodes may run under a filter
-that allows no socket but TCP and UDP over IPv4, so this loop makes the same wake-up of ``os.pipe()``.
-A pipe carries the same bytes with the same blocking rules, and ``signal.set_wakeup_fd`` takes it as well.
+that allows only TCP and UDP sockets over IPv4, so this loop uses ``os.pipe()`` for the same purpose.
+A pipe carries the same bytes with the same blocking rules, and ``signal.set_wakeup_fd`` accepts it as well.
 
-The loop overrides two private methods of ``asyncio.selector_events.BaseSelectorEventLoop``, the ones that
-make and close the pair, and leans on two more that read and write it through ``recv`` and ``send``. The
-four have the same source in CPython 3.11.7, 3.12.1 and 3.13.0; ``tests/test_fleet_process.py`` proves that
-the node makes no Unix socket, and that the pipe wakes the loop from a thread and from a signal.
+The loop overrides two private methods of ``asyncio.selector_events.BaseSelectorEventLoop``, which create and
+close the pair, and relies on two more, which read and write it through ``recv`` and ``send``. The four have
+the same source in CPython 3.11.7, 3.12.1 and 3.13.0; ``tests/test_fleet_process.py`` checks that the node
+creates no Unix socket, and that the pipe wakes the loop from a thread and from a signal.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class PipeEnd:
-    """One end of a pipe, with the few calls of a socket that asyncio makes on its self-pipe."""
+    """One end of a pipe, with the socket methods that asyncio calls on its self-pipe."""
 
     def __init__(self, fd: int) -> None:
         self.fd = fd
         os.set_blocking(fd, False)
 
     def fileno(self) -> int:
-        """The descriptor."""
+        """Returns the descriptor."""
         return self.fd
 
     def setblocking(self, flag: bool) -> None:
@@ -35,11 +35,11 @@
         os.set_blocking(self.fd, flag)
 
     def recv(self, size: int) -> bytes:
-        """Raises ``BlockingIOError`` where nothing waits, as a socket's ``recv`` does."""
+        """Reads; raises ``BlockingIOError`` if the pipe is empty, as a socket's ``recv`` does."""
         return os.read(self.fd, size)
 
     def send(self, data: bytes) -> int:
-        """Raises ``BlockingIOError`` where the pipe is full: then the loop is woken already."""
+        """Writes; raises ``BlockingIOError`` if the pipe is full, when the loop is woken already."""
         return os.write(self.fd, data)
 
     def close(self) -> None:
@@ -50,7 +50,7 @@
 
 
 class PipeEventLoop(asyncio.SelectorEventLoop):
-    """A ``SelectorEventLoop`` whose self-pipe is a pipe: ``asyncio.Runner(loop_factory=PipeLoop)``."""
+    """A ``SelectorEventLoop`` whose self-pipe is a pipe: ``asyncio.Runner(loop_factory=PipeEventLoop)``."""
 
     _ssock: PipeEnd | None
     _csock: PipeEnd | None
@@ -73,6 +73,6 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Runs a coroutine to its end on a ``PipeLoop``, as ``asyncio.run`` does on the default loop."""
+    """Runs a coroutine to its end on a ``PipeEventLoop``, as ``asyncio.run`` does on the default loop."""
     with asyncio.Runner(loop_factory=PipeEventLoop) as runner:
         runner.run(main)
--- a/puffinpost/net/flow_exporter.py
+++ b/puffinpost/net/flow_exporter.py
@@ -1,6 +1,6 @@
 """Exports flow records to an IPFIX collector over TCP.
 
-The coordinator reports completed exchanges. A slow or absent collector costs records, never service.
+The coordinator reports completed exchanges. A slow or absent collector loses records, but delays no client.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MAX_RECORDS_PER_MESSAGE = 128
 CONNECT_TIMEOUT_S = 2.0
 RECONNECT_INTERVAL_S = 1.0
-SEND_TIMEOUT_S = 5.0  # for a message; a slower collector counts as disconnected
+SEND_TIMEOUT_S = 5.0  # per message; a slower collector counts as disconnected
 FINAL_FLUSH_TIMEOUT_S = 0.2
 
 _FLOW_END_REASONS = {
@@ -36,7 +36,7 @@
 
 
 class FlowExporter:
-    """Queues a bounded number of records, and sends them in order."""
+    """Queues a limited number of records, and sends them in order."""
 
     def __init__(self, config: FlowExportConfig, coordinator: Coordinator) -> None:
         self.config = config
@@ -85,14 +85,14 @@
                     await self._export(connection)
                 except (StreamClosedError, TimeoutError) as error:
                     log.info("flow collector disconnected", reason=type(error).__name__)
-                except Exception:  # noqa: BLE001 (border: a defect in the export must not end it)
+                except Exception:  # noqa: BLE001 (boundary: a defect must not end the export)
                     log.exception("flow export")
                 finally:
                     connection.close(reset=True)
             await asyncio.sleep(RECONNECT_INTERVAL_S)
 
     async def _export(self, connection: Connection) -> None:
-        # A collector sends nothing; its disconnect is noticed by the stream's close callback.
+        # A collector sends nothing; the stream's close callback reports its disconnect.
         disconnected = asyncio.Event()
         connection.stream.set_close_callback(disconnected.set)
         encoder = ipfix.Encoder(self.config.domain)
@@ -103,7 +103,7 @@
                 try:
                     await self._send(connection, encoder.encode_flows(int(time.time()), batch))
                 except BaseException:
-                    # Which records arrived is unknown, and none may be counted twice at the collector.
+                    # It is unknown which records arrived, and the collector must count none twice.
                     self.counters.add("flows_dropped", len(batch))
                     raise
                 self.counters.add("flows_sent", len(batch))
--- a/puffinpost/net/handover_channel.py
+++ b/puffinpost/net/handover_channel.py
@@ -1,6 +1,6 @@
-"""A channel between two processes of one node: JSON messages, each with the sockets that it passes on.
+"""A channel between two processes of one node: JSON messages, each with the sockets that it transfers.
 
-IOStream does not support ``SCM_RIGHTS``, so the channel drives a Unix socket itself. It is of type SEQPACKET:
+IOStream does not support ``SCM_RIGHTS``, so the channel uses a Unix socket directly, of type SEQPACKET:
 a message arrives complete with its descriptors, or not at all.
 """
 
@@ -19,16 +19,16 @@
 
 from puffinpost.observability import log
 
-MAX_MESSAGE_BYTES = 160 * 1024  # below what the kernel accepts as one message by default
+MAX_MESSAGE_BYTES = 160 * 1024  # below the kernel's default limit for one message
 MAX_SOCKETS_PER_MESSAGE = 2
-MAX_MESSAGES_PER_TURN = 16  # received before other work gets its turn
+MAX_MESSAGES_PER_TURN = 16  # received before the event loop gets its turn
 MAX_SOCKET_PATH_BYTES = 100  # a longer path is reached through its directory's descriptor
 
 HandoverMessage = dict[str, Any]
 
 
 class HandoverChannel:
-    """One end. ``on_message`` gets each message with its sockets; ``on_closed`` is called at a peer close."""
+    """One end. ``on_message`` receives each message with its sockets; ``on_closed`` reports a peer close."""
 
     def __init__(self, connection: socket.socket) -> None:
         self.socket = connection
@@ -48,7 +48,7 @@
         self._flush()
 
     def send_with_sockets(self, message: HandoverMessage, sockets: list[socket.socket]) -> bool:
-        """Sends a message with sockets, which may be closed here afterwards. False: not possible now."""
+        """Sends a message with sockets, which may be closed here afterwards. Returns False if that fails."""
         if self.closed or self._unsent:
             return False
         try:
@@ -102,7 +102,7 @@
             sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
             try:
                 self.on_message(orjson.loads(data), sockets)
-            except Exception:  # noqa: BLE001 (border: a defect met by one message must not end the channel)
+            except Exception:  # noqa: BLE001 (boundary: a defect with one message must not end the channel)
                 log.exception("handover message")
                 for each in sockets:
                     each.close()
@@ -127,7 +127,7 @@
 
 
 def connect(path: Path) -> HandoverChannel | None:
-    """A channel to the process that listens on a path; None where none does."""
+    """Returns a channel to the process that listens on a path, or None if none does."""
     client_socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         client_socket.setblocking(False)
@@ -140,7 +140,7 @@
 
 
 class HandoverListener:
-    """Listens on a path, replacing an earlier listener there."""
+    """Listens on a path, and replaces an earlier listener there."""
 
     def __init__(self, path: Path, on_connected: Callable[[HandoverChannel], None]) -> None:
         self.on_connected = on_connected
@@ -160,7 +160,7 @@
         IOLoop.current().add_handler(self.socket, self._on_ready, IOLoop.READ)
 
     def close(self) -> None:
-        """Stops listening. The path remains, as a successor may have replaced it."""
+        """Stops listening. The path remains, since it may be a successor's by now."""
         IOLoop.current().remove_handler(self.socket)
         self.socket.close()
 
--- a/puffinpost/net/health_checker.py
+++ b/puffinpost/net/health_checker.py
@@ -18,17 +18,17 @@
 from puffinpost.observability import log
 from puffinpost.protocol import lines
 
-# Added to the timeout of a check: how late the event loop may handle a socket.
+# Added to the timeout of a check, since the event loop may handle a socket this late.
 TIMEOUT_SLACK_S = 0.05
-# Bounds the node's own descriptors (`config.node.RESERVED_SOCKETS`), of which a fleet may need more. The
-# least recently used connection is evicted.
+# Limits the node's own descriptors (`config.node.RESERVED_SOCKETS`), since a fleet may have more endpoints.
+# The least recently used connection is evicted.
 MAX_CACHED_CONNECTIONS = 16
 OnChecked = Callable[[EndpointId, AttemptResult, int, tuple[float, ...]], None]
 Address = tuple[str, int]
 
 
 class HealthChecker:
-    """Caches a connection for each recently checked endpoint. The balancer sends one check at a time.
+    """Caches a connection for each recently checked endpoint. The balancer starts one check at a time.
 
     ``load_report_fields`` and ``timeout_ns`` are called for each check, since settings may change;
     ``on_checked`` receives the endpoint, the result, the duration in ns and the load report.
@@ -43,21 +43,21 @@
         self.load_report_fields = load_report_fields
         self.timeout_ns = timeout_ns
         self.on_checked = on_checked
-        self._is_wanted: Callable[[EndpointId], bool] = lambda _endpoint: True
+        self._is_included: Callable[[EndpointId], bool] = lambda _endpoint: True
         self._cached: dict[EndpointId, tuple[Address, Connection]] = {}  # unused, the most recently used last
         self._tasks: set[asyncio.Task[None]] = set()
 
     def check(self, endpoint: EndpointId, address: Address) -> None:
-        """Checks an endpoint; ``on_checked`` is called once."""
+        """Starts a check of an endpoint; ``on_checked`` is called once."""
         task = asyncio.get_running_loop().create_task(self._run(endpoint, address))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def close_unwanted(self, is_wanted: Callable[[EndpointId], bool]) -> None:
-        """Closes cached connections to endpoints that ``is_wanted`` excludes, and caches none to them."""
-        self._is_wanted = is_wanted
-        for server in [server for server in self._cached if not is_wanted(server)]:
-            self._cached.pop(server)[1].close()
+    def close_excluded(self, is_included: Callable[[EndpointId], bool]) -> None:
+        """Closes cached connections to endpoints that ``is_included`` excludes, and caches none to them."""
+        self._is_included = is_included
+        for endpoint in [endpoint for endpoint in self._cached if not is_included(endpoint)]:
+            self._cached.pop(endpoint)[1].close()
 
     async def _run(self, endpoint: EndpointId, address: Address) -> None:
         started_ns = time.monotonic_ns()
@@ -70,7 +70,7 @@
             result = AttemptResult.TIMEOUT
         except (StreamClosedError, OSError, lines.LineError):
             result = AttemptResult.RESET
-        except Exception:  # noqa: BLE001 (border: a defect in one check must still be reported as its result)
+        except Exception:  # noqa: BLE001 (boundary: a defect in a check is reported as its result)
             log.exception("health check")
         finally:
             self.on_checked(endpoint, result, time.monotonic_ns() - started_ns, report)
@@ -83,7 +83,7 @@
             try:
                 return await self._exchange(endpoint, address, connection)
             except (StreamClosedError, OSError):
-                pass  # the endpoint may have closed an idle connection just now, which is no fault
+                pass  # the endpoint may just have closed an idle connection, which is not a failure
         elif connection is not None:
             connection.close()
         connection = await dial(address, timeout_s)
@@ -91,8 +91,8 @@
             return AttemptResult.CONNECT_FAILED, ()
         # Without a callback the stream does not notice that the endpoint closes an idle connection.
         connection.stream.set_close_callback(lambda: None)
-        if not self._is_wanted(endpoint):
-            connection.close()  # it started draining while this connected
+        if not self._is_included(endpoint):
+            connection.close()  # the endpoint was excluded while this connected, such as for a drain
             return AttemptResult.SUPERSEDED, ()
         return await self._exchange(endpoint, address, connection)
 
@@ -110,11 +110,11 @@
             return (AttemptResult.REJECTED if kind is lines.LineKind.BUSY else AttemptResult.ERROR), ()
         finally:
             if self._cached.get(endpoint, (None, None))[1] is not connection:
-                # A late answer would be taken for that of the next check.
+                # A late answer would be taken for the answer to the next check.
                 connection.close()
 
     def _cache(self, endpoint: EndpointId, address: Address, connection: Connection) -> None:
-        if not self._is_wanted(endpoint):
+        if not self._is_included(endpoint):
             return
         while len(self._cached) >= MAX_CACHED_CONNECTIONS:
             self._cached.pop(next(iter(self._cached)))[1].close()
--- a/puffinpost/net/listener.py
+++ b/puffinpost/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections, and keeps a spare descriptor to reject one when no other is left."""
+"""Accepts connections, and reserves a spare descriptor to reject one when no other is left."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from puffinpost.net.stream import READ_CHUNK_BYTES, create_stream
 
 BACKLOG = 4096
-MAX_ACCEPTS_PER_TURN = 16  # before other work gets its turn
-ACCEPT_RETRY_S = 0.02  # after a connection could not be accepted
+MAX_ACCEPTS_PER_TURN = 16  # before the event loop gets its turn
+ACCEPT_RETRY_S = 0.02  # the delay after a connection could not be accepted
 
 
 def bind_listener(address: tuple[str, int]) -> socket.socket:
-    """A socket that listens on an address."""
+    """Returns a socket that listens on an address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listening = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -33,9 +33,9 @@
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """The listening socket that this process inherited.
+    """Returns the listening socket that this process inherited.
 
-    It is only closed here, never shut down, since other processes use it too.
+    The socket is only closed here, never shut down, since other processes use it too.
     """
     listening = socket.socket(fileno=descriptor)
     listening.set_inheritable(False)
@@ -45,7 +45,7 @@
 
 
 class Listener:
-    """A listening socket. ``on_accepted`` gets each connection, ``on_rejected`` a socket to answer."""
+    """A listening socket. ``on_accepted`` receives each connection, ``on_rejected`` a socket to answer."""
 
     def __init__(
         self,
@@ -71,13 +71,13 @@
         )
 
     def _retry_later(self) -> None:
-        """Stops for a moment: a connection that is not accepted keeps the listener readable."""
+        """Stops accepting for a moment: a connection that is not accepted keeps the socket readable."""
         if self._retry_timer is None and not self._paused:
             IOLoop.current().remove_handler(self.socket)
             self._retry_timer = IOLoop.current().call_later(ACCEPT_RETRY_S, self._start_accepting)
 
     def pause(self) -> None:
-        """Stops accepting; another process of this node accepts."""
+        """Stops accepting, so that another process of this node accepts."""
         if not self._paused:
             self._paused = True
             self._stop_accepting()
@@ -125,7 +125,7 @@
             self.on_accepted(connection)
 
     def _reject_with_spare(self) -> bool:
-        """Rejects one connection on the spare descriptor; False where that is not possible."""
+        """Rejects one connection on the spare descriptor. Returns False if that is not possible."""
         if self._spare_descriptor is not None:
             os.close(self._spare_descriptor)
             self._spare_descriptor = None
@@ -141,5 +141,5 @@
         else:
             return True
         finally:
-            with contextlib.suppress(OSError):  # the descriptor may be taken; the next call retries
+            with contextlib.suppress(OSError):  # the descriptor may be in use; the next call retries
                 self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
--- a/puffinpost/net/stream.py
+++ b/puffinpost/net/stream.py
@@ -1,4 +1,4 @@
-"""IOStreams with the limits that all connections share, and a callback for the end of the peer's input."""
+"""IOStreams with the same limits for all connections, and a callback for the end of the peer's input."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class EndNotifyingStream(IOStream):
-    """An IOStream that reports the end of the peer's input before it closes, for a last answer."""
+    """An IOStream that reports the end of the peer's input before it closes, so that it can be answered."""
 
     on_end_of_stream: Callable[[], None] | None = None
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Reads from the socket as ``IOStream`` does; 0 is the end of the input."""
+        """Reads from the socket as ``IOStream`` does; 0 means the end of the input."""
         try:
             size = super().read_from_fd(buf)
         finally:
@@ -28,13 +28,13 @@
             callback, self.on_end_of_stream = self.on_end_of_stream, None
             try:
                 callback()
-            except Exception:  # noqa: BLE001 (border: a defect in a front end must not break the stream)
+            except Exception:  # noqa: BLE001 (boundary: a defect in a frontend must not break the stream)
                 log.exception("connection ended")
         return size
 
 
 def create_stream(connected: socket.socket) -> EndNotifyingStream:
-    """A stream that reads at most as much at once as a connection passes on at once."""
+    """Returns a stream that reads no more at once than a connection passes on at once."""
     return EndNotifyingStream(
         connected, max_buffer_size=MAX_READ_BUFFER_BYTES, read_chunk_size=READ_CHUNK_BYTES
     )
--- a/puffinpost/net/tls.py
+++ b/puffinpost/net/tls.py
@@ -1,4 +1,4 @@
-"""What a connection needs to start TLS, and what it learns from the peer's certificate."""
+"""The parameters with which a connection starts TLS, and the name in the peer's certificate."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsUpgrade:
-    """How a connection starts TLS; ``hostname`` is checked against the certificate of a server."""
+    """How a connection starts TLS. ``hostname`` must match the certificate of a server."""
 
     context: ssl.SSLContext
     server_side: bool
@@ -19,14 +19,14 @@
 
 
 def peer_common_name(connected: Any) -> str:
-    """The common name in the verified certificate of a TLS socket's peer; empty where there is none."""
+    """Returns the common name in the verified certificate of a TLS socket's peer, or an empty string."""
     if not isinstance(connected, ssl.SSLSocket):
         return ""
     return common_name(connected.getpeercert() or {})
 
 
 def common_name(certificate: dict[str, Any]) -> str:
-    """The common name in a certificate as ``getpeercert`` returns it; empty where there is none."""
+    """Returns the common name in a certificate as ``getpeercert`` returns it, or an empty string."""
     for relative_name in certificate.get("subject", ()):
         for key, value in relative_name:
             if key == "commonName":
--- a/puffinpost/net/upstream.py
+++ b/puffinpost/net/upstream.py
@@ -1,4 +1,4 @@
-"""Establishes the connection of an attempt to its endpoint, and runs it with the protocol's handler."""
+"""Establishes the connection of an attempt to its endpoint, and runs it with the handler of the protocol."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class UpstreamHandler(Receiver, Protocol):
-    """The protocol's side of an attempt: receives the endpoint's input."""
+    """Handles one attempt for its protocol: receives the endpoint's input."""
 
     attempt: Attempt
     connection: Connection | None
 
     def on_connected(self) -> None:
-        """The connection is established: write the request."""
+        """Writes the request, once the connection is established."""
 
     def on_flushed(self) -> None:
-        """The request is sent."""
+        """Called when the request is sent."""
 
 
 class UpstreamConnector:
-    """Starts attempts, each on a socket of its own, which exists and can be closed from the start.
+    """Starts attempts. Each has its own socket, which exists and can be closed from the start.
 
     ``tracker`` counts connections that linger after a close (``Connection.close``).
     """
@@ -39,7 +39,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, handler: UpstreamHandler) -> None:
-        """Starts an attempt; its outcome is reported to the coordinator, its input to ``handler``."""
+        """Starts an attempt, and reports its outcome to the coordinator and its input to ``handler``."""
         handler.connection = create_connection(handler.attempt.address, self.tracker)
         task = asyncio.get_running_loop().create_task(self._run(handler, handler.attempt))
         self._tasks.add(task)
--- a/puffinpost/runtime/node.py
+++ b/puffinpost/runtime/node.py
@@ -166,7 +166,7 @@
     def apply_bans(self, banned: dict[str, int]) -> None:
         """Has exactly these endpoints banned: names, each with when it was banned (Unix time, ns)."""
         self.coordinator.apply_bans(banned)
-        self.health_checker.close_unwanted(self.coordinator.accepts_new_work)
+        self.health_checker.close_excluded(self.coordinator.accepts_new_work)
 
     def _endpoint_list_index(self) -> int:
         """The index of discovery's last answer here.
@@ -180,7 +180,7 @@
         if self.cluster_state is not None and self.cluster_state.endpoint_list.on_discovery_answer(answer):
             return  # it arrives again as what all nodes have agreed on
         self.coordinator.endpoint_list_received(answer)
-        self.health_checker.close_unwanted(self.coordinator.accepts_new_work)
+        self.health_checker.close_excluded(self.coordinator.accepts_new_work)
 
     def _add_closed_class(self, name: str) -> None:
         """Connections are handed over of a class that the configuration does not have any more."""
--- a/puffinpost/runtime/readiness.py
+++ b/puffinpost/runtime/readiness.py
@@ -54,4 +54,4 @@
     def _should_wait(self) -> bool:
         if self.coordinator.endpoints.is_current or self.stop_requested.is_set():
             return False
-        return self.discovery_client.last_end is not CallFailure.UNREACHABLE
+        return self.discovery_client.last_failure is not CallFailure.UNREACHABLE
--- a/puffinpost/runtime/shared_endpoint_list.py
+++ b/puffinpost/runtime/shared_endpoint_list.py
@@ -72,7 +72,7 @@
             return
         coordinator = self.node.coordinator
         coordinator.endpoint_list_received(merged_documents.to_discovery_answer(version.content))
-        self.node.health_checker.close_unwanted(coordinator.accepts_new_work)
+        self.node.health_checker.close_excluded(coordinator.accepts_new_work)
 
     def _is_current(self) -> bool:
         acting = self.cluster.member.active_versions
--- a/tests/test_health_checker.py
+++ b/tests/test_health_checker.py
@@ -76,7 +76,7 @@
         probes = Checks()
         asked = asyncio.create_task(probes.ask(1, ("127.0.0.1", held.port)))
         await asyncio.sleep(0)
-        probes.checker.close_unwanted(lambda server: wanted)
+        probes.checker.close_excluded(lambda server: wanted)
         peer = await asyncio.to_thread(held.accept_pending)
         if wanted:
             assert await asyncio.to_thread(peer.line) == b"STATS\r\n"
@@ -111,15 +111,15 @@
             assert await probes.ask(server, address) is AttemptResult.SERVED
         while len(open_now) > MAX_CACHED_CONNECTIONS:
             await asyncio.sleep(0.01)
-        probes.checker.close_unwanted(lambda server: False)
+        probes.checker.close_excluded(lambda server: False)
         while open_now:
             await asyncio.sleep(0.01)
-        probes.checker.close_unwanted(lambda server: True)
+        probes.checker.close_excluded(lambda server: True)
         asked.clear()
         answers.clear()
         out = asyncio.create_task(probes.ask(1, address))
         await asked.wait()
-        probes.checker.close_unwanted(lambda server: False)  # it is told to drain while the probe is out
+        probes.checker.close_excluded(lambda server: False)  # it is told to drain while the probe is out
         answers.set()
         assert await out is AttemptResult.SERVED
         while open_now:
