--- a/puffinpost/__init__.py
+++ b/puffinpost/__init__.py
@@ -1,4 +1,4 @@
-"""puffinpost: decisions for a balancer of long-lived connections."""
+"""puffinpost: a load balancer for long-lived connections."""
 
 from puffinpost.balancing.balancer import Balancer
 
--- a/puffinpost/cli/settings.py
+++ b/puffinpost/cli/settings.py
@@ -46,8 +46,8 @@
         if config.folder is None:
             raise ConfigError("cluster.folder", "the node has none, so nobody can be let in")
         self.address = config.listen
-        self.cluster_id = config.plan.cluster
-        self.node_name = config.plan.name
+        self.cluster_id = config.member_config.cluster
+        self.node_name = config.member_config.name
         self.folder = config.folder  # has the token that lets an operator in
 
     def query(self, what: str, about: str = "") -> Any:
--- a/puffinpost/cluster/consensus_driver.py
+++ b/puffinpost/cluster/consensus_driver.py
@@ -50,10 +50,10 @@
     ) -> None:
         self.config, self.count = config, count
         store = ConsensusStore(config.folder) if config.folder is not None else None
-        rng = random.Random(f"{seed}.{config.plan.name}")
+        rng = random.Random(f"{seed}.{config.member_config.name}")
         persistent_state, self._stored_documents = store.read() if store is not None else (None, [])
         identity = store.identity if store is not None else FOLLOWER_IDENTITY
-        self.member = Member(config.plan, identity, persistent_state, rng, self.clock(), validate)
+        self.member = Member(config.member_config, identity, persistent_state, rng, self.clock(), validate)
         self.member.active_versions.change_listeners.append(on_version_change)
         self.writer = ConsensusWriter(store, self.member.raft, self._on_written, count)
         self.links = Links(self._link_context(store.token if store is not None else ""), rng)
@@ -65,7 +65,7 @@
 
     def _link_context(self, token: str) -> LinkContext:
         return LinkContext(
-            self.config.plan.cluster,
+            self.config.member_config.cluster,
             self.config.members,
             self.member.hello,
             self._on_message,
@@ -97,7 +97,7 @@
 
     def start(self) -> None:
         """Listens, introduces a voter to the others, and begins to renew the lease."""
-        config, member = self.config.plan, self.member
+        config, member = self.config.member_config, self.member
         host, port = self.config.listen
         self.links.listen(port, host)
         role = "voter" if config.name in config.voters else "follower"
--- a/puffinpost/cluster/replication_driver.py
+++ b/puffinpost/cluster/replication_driver.py
@@ -53,7 +53,7 @@
         store = ReplicaStore(config.folder, self._store_set_aside) if config.folder is not None else None
         positions, rows = store.read() if store is not None else ([], [])
         self.is_first_start = not positions  # this node has never stored replicated state
-        rng = random.Random(f"{seed}.{config.plan.name}.replica")
+        rng = random.Random(f"{seed}.{config.member_config.name}.replica")
         self.member = Member(
             _member_config(config), rng, self.now_ns(), self.wall_clock_ms, count, positions, rows
         )
@@ -74,10 +74,10 @@
 
     def test_override(self, name: str) -> list[float]:
         """Numbers that a fault test has written to a file for this process; empty in production."""
-        if self.config.knobs is None:
+        if self.config.test_override_folder is None:
             return []
         try:
-            return [float(word) for word in (self.config.knobs / name).read_text().split()]
+            return [float(word) for word in (self.config.test_override_folder / name).read_text().split()]
         except (OSError, ValueError):
             return []
 
@@ -172,8 +172,8 @@
 
 def _member_config(config: ClusterConfig) -> MemberConfig:
     return MemberConfig(
-        config.plan.name,
-        config.plan.members,
+        config.member_config.name,
+        config.member_config.members,
         config.replica.rate_kib * BYTES_PER_KIB,
         tombstone_retention_ms=int(config.replica.remember_s * MS_PER_S),
     )
--- a/puffinpost/config/__init__.py
+++ b/puffinpost/config/__init__.py
@@ -1,7 +1,7 @@
-"""All configuration: read, checked and given its defaults here, and nowhere else.
+"""All configuration is read, checked and given its defaults in this package.
 
-``node`` reads what the platform sets, ``schema`` and ``edge`` the operator's file, and ``reload`` and
-``shared_settings`` change what is in force while the node runs.
+``node`` reads the platform's configuration, and ``schema`` and ``edge`` the operator's file. ``reload`` and
+``shared_settings`` derive new configurations while the node runs.
 """
 
 from puffinpost.config.edge import FlowExportConfig, MqttConfig, XmppConfig, edge_file, read_edge
@@ -9,7 +9,7 @@
 from puffinpost.config.node import Config, load
 from puffinpost.config.platform_settings import flatten
 from puffinpost.config.reload import reload
-from puffinpost.config.shared_settings import with_closed, with_shared
+from puffinpost.config.shared_settings import with_closed_class, with_shared_settings
 
 __all__ = [
     "Config",
@@ -22,6 +22,6 @@
     "load",
     "read_edge",
     "reload",
-    "with_closed",
-    "with_shared",
+    "with_closed_class",
+    "with_shared_settings",
 ]
--- a/puffinpost/config/addresses.py
+++ b/puffinpost/config/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in configuration files, with the key in the error of a wrong one."""
+"""Parses addresses in configuration files; the error for an invalid one names its key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def address_of(value: str, key: str) -> Address:
-    """The address that a key holds as ``HOST:PORT``. Raises ``ConfigError``."""
+    """Parses the value of a key, ``HOST:PORT``. Raises ``ConfigError``."""
     try:
         return parse_address(value)
     except ValueError as problem:
@@ -17,5 +17,5 @@
 
 
 def optional_address_of(value: str, key: str) -> Address | None:
-    """The same; None where the value is empty."""
+    """Parses the value of a key like ``address_of``. Returns None if it is empty."""
     return address_of(value, key) if value else None
--- a/puffinpost/config/cluster.py
+++ b/puffinpost/config/cluster.py
@@ -1,6 +1,6 @@
-"""The ``[cluster]`` table of the operator's file, as a node runs with it.
+"""Turns the ``[cluster]`` table of the operator's file into the configuration that a node runs with.
 
-It is imported only where the table is in use, so that a plain start stays quick.
+The module is imported only if the table is used, so that a node without a cluster starts quickly.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 
 NS_PER_S = 1_000_000_000
 VOTER_COUNTS = (1, 3, 5, 7)
-# A voter counts as lost after a quarter of `agree_within_s`, and another leads well before leases run out.
+# With 40, a voter counts as lost after a quarter of `agree_within_s`, and another one becomes leader well
+# before leases expire.
 HEARTBEATS_PER_AGREEMENT = 40
 UNSPECIFIED: Address = ("", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """This node's part in a cluster. ``folder`` is None for a node that stores nothing and only follows."""
+    """A node's configuration as a cluster member. ``folder`` is None for a follower that stores nothing."""
 
-    plan: MemberConfig
+    member_config: MemberConfig
     listen: Address
     members: dict[str, Address]
     folder: Path | None
     history: Path | None
     clock_rate: float
     replica: schema.Replica
-    knobs: Path | None = None
+    test_override_folder: Path | None = None
 
 
 def cluster_config_of(table: schema.Cluster) -> ClusterConfig:
-    """What the table means, whichever node reads it. Raises ``ConfigError``."""
+    """Converts the table, independently of which node reads it. Raises ``ConfigError``."""
     _check_voters(table)
     members = {name: address_of(value, f"cluster.members.{name}") for name, value in table.members.items()}
     if len(set(members.values())) < len(members):
-        raise ConfigError("cluster.members", "two have one address")
+        raise ConfigError("cluster.members", "two members have the same address")
     return ClusterConfig(
         _member_config_of(table),
         address_of(table.listen, "cluster.listen") if table.listen else UNSPECIFIED,
@@ -53,23 +54,23 @@
 
 
 def for_node(cluster: ClusterConfig, name: str) -> ClusterConfig:
-    """The same as the node of that name runs with it. Raises ``ConfigError``."""
-    name = cluster.plan.name or name
+    """Returns the configuration with which the node of that name runs. Raises ``ConfigError``."""
+    name = cluster.member_config.name or name
     if name not in cluster.members:
-        raise ConfigError("cluster.members", f"this node, {name}, is not among them")
-    if name in cluster.plan.voters and cluster.folder is None:
-        raise ConfigError("cluster.folder", "a voter needs one")
+        raise ConfigError("cluster.members", f"this node, {name}, is not listed")
+    if name in cluster.member_config.voters and cluster.folder is None:
+        raise ConfigError("cluster.folder", "must be set for a voter")
     listen = cluster.listen if cluster.listen != UNSPECIFIED else cluster.members[name]
-    return replace(cluster, plan=replace(cluster.plan, name=name), listen=listen)
+    return replace(cluster, member_config=replace(cluster.member_config, name=name), listen=listen)
 
 
 def _check_voters(table: schema.Cluster) -> None:
     distinct = len(set(table.voters))
     if len(table.voters) not in VOTER_COUNTS or distinct < len(table.voters):
-        raise ConfigError("cluster.voters", f"{distinct} names; there are 1, 3, 5 or 7 of them")
+        raise ConfigError("cluster.voters", f"{distinct} distinct names; there must be 1, 3, 5 or 7 voters")
     for name in table.voters:
         if name not in table.members:
-            raise ConfigError("cluster.voters", f"{name} is not among cluster.members")
+            raise ConfigError("cluster.voters", f"{name} is not listed in cluster.members")
 
 
 def _member_config_of(table: schema.Cluster) -> MemberConfig:
--- a/puffinpost/config/edge.py
+++ b/puffinpost/config/edge.py
@@ -1,7 +1,7 @@
 """The operator's file, ``deploy/edge.toml`` or the one that ``GW_EDGE`` names, as the node runs with it.
 
-It checks what the schema cannot: addresses, files that keys name, and keys that need one another. A frontend
-that is off has nothing of its protocol imported.
+It checks what the schema cannot: addresses, files that keys name, and keys that depend on each other. The
+modules of a protocol are imported only if its frontend is on.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class XmppConfig:
-    """The XMPP frontend, and how it connects to transcribers."""
+    """The XMPP frontend, and how it connects to endpoints."""
 
     listen: Address
     server: ServerOptions
     client: ClientOptions
     server_tls: ssl.SSLContext | None
     client_tls: ssl.SSLContext | None
-    port: int  # of transcribers; 0: as the endpoint list has it
+    port: int  # of endpoints; 0: as in the endpoint list
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,45 +70,48 @@
     flow_export: FlowExportConfig | None
     counters_interval_s: int
     log_format: str
-    handover_mode: str = schema.HAND_OVER_INHERITED  # see ``schema.Upgrade``
-    trace: bool = False  # log each event and action about a request
+    handover_mode: str = schema.HAND_OVER_INHERITED  # described at ``schema.Upgrade``
+    trace: bool = False  # whether to log each event and action about a request
     cluster: ClusterConfig | None = None
 
 
 def edge_file(environ: Mapping[str, str]) -> Path:
-    """The path of the file that this process reads."""
+    """Returns the path of the file that this process reads."""
     return Path(environ.get("GW_EDGE") or EDGE_FILE)
 
 
 def parse(path: Path, required: bool = True) -> dict[str, Any]:
-    """The tables of a TOML file; empty where it is missing and not required. Raises ``ConfigError``."""
+    """Parses a TOML file; empty if it is missing and not required. Raises ``ConfigError``."""
     try:
         return tomllib.loads(path.read_text())
     except FileNotFoundError:
         if required:
-            raise ConfigError("GW_EDGE", f"there is no file {path}") from None
+            raise ConfigError("GW_EDGE", f"file {path} does not exist") from None
         return {}
     except (OSError, ValueError) as problem:
         raise ConfigError(str(path), str(problem)) from None
 
 
 def read_edge(environ: Mapping[str, str]) -> EdgeConfig:
-    """The file, checked. Raises ``ConfigError`` with the first key that is wrong."""
+    """Reads and checks the file. Raises ``ConfigError`` with the first invalid key."""
     table = parse(edge_file(environ), required=bool(environ.get("GW_EDGE")))
     return edge_config_of(schema.edge_of(table))
 
 
 def problems(table: dict[str, Any]) -> list[str]:
-    """Every fault of a file that can be found at once, each with its key: what ``check`` prints."""
+    """Returns the faults of a file, each with its key, as ``check`` prints them.
+
+    If the file does not fit the schema, the other checks are not made.
+    """
     found = [str(fault) for fault in schema.faults(table)]
     if found:
         return found
     edge = schema.edge_of(table)
     checks = (
-        lambda: _xmpp(edge.xmpp),
-        lambda: _mqtt(edge.mqtt),
-        lambda: _flows(edge.ipfix),
-        lambda: _cluster(edge.cluster),
+        lambda: _xmpp_config(edge.xmpp),
+        lambda: _mqtt_config(edge.mqtt),
+        lambda: _flow_export_config(edge.ipfix),
+        lambda: _cluster_config(edge.cluster),
     )
     for check in checks:
         try:
@@ -119,17 +122,17 @@
 
 
 def edge_config_of(edge: schema.Edge) -> EdgeConfig:
-    """What the file's structs mean. Raises ``ConfigError``."""
+    """Converts the structs of the file. Raises ``ConfigError``."""
     return EdgeConfig(
-        _xmpp(edge.xmpp),
-        _mqtt(edge.mqtt),
+        _xmpp_config(edge.xmpp),
+        _mqtt_config(edge.mqtt),
         _resumption_limits(edge.resume),
-        _flows(edge.ipfix),
+        _flow_export_config(edge.ipfix),
         edge.counters.every_s,
         edge.log.format,
         edge.upgrade.hand_over,
         edge.log.trace,
-        _cluster(edge.cluster),
+        _cluster_config(edge.cluster),
     )
 
 
@@ -145,18 +148,18 @@
     )
 
 
-def _xmpp(table: schema.Xmpp) -> XmppConfig | None:
-    transcribers = table.transcribers
+def _xmpp_config(table: schema.Xmpp) -> XmppConfig | None:
+    endpoints = table.transcribers
     listen = optional_address_of(table.listen, "xmpp.listen")
-    users = _users(table.users, "xmpp")
-    if transcribers.mechanism == "PLAIN" and not transcribers.tls:
-        raise ConfigError("xmpp.transcribers.tls", "PLAIN is spoken over TLS only")
-    password = _text(transcribers.password_file, "xmpp.transcribers.password_file").strip()
+    users = _read_users(table.users, "xmpp")
+    if endpoints.mechanism == "PLAIN" and not endpoints.tls:
+        raise ConfigError("xmpp.transcribers.tls", "the PLAIN mechanism requires TLS")
+    password = _read_text(endpoints.password_file, "xmpp.transcribers.password_file").strip()
     if listen is None:
         return None
     if table.require_tls and not table.certificate:
-        raise ConfigError("xmpp.certificate", "require_tls needs one")
-    # Imported only where the frontend is on.
+        raise ConfigError("xmpp.certificate", "must be set if require_tls is")
+    # Imported only if the frontend is on.
     from puffinpost.protocol.xmpp import ClientOptions, ServerOptions
 
     return XmppConfig(
@@ -168,66 +171,68 @@
             bool(table.certificate),
             table.require_tls,
             table.stanza_limit,
-            channel_binding=_binding(table),
+            channel_binding=_channel_binding(table),
             verifiers=_verifiers(table, users),
         ),
         ClientOptions(
-            transcribers.domain,
-            transcribers.mechanism,
-            transcribers.username,
+            endpoints.domain,
+            endpoints.mechanism,
+            endpoints.username,
             password,
-            transcribers.tls,
+            endpoints.tls,
             table.stanza_limit,
         ),
         _server_tls(table, "xmpp"),
-        _client_tls(transcribers),
-        transcribers.port,
+        _client_tls(endpoints),
+        endpoints.port,
     )
 
 
-def _mqtt(table: schema.Mqtt) -> MqttConfig | None:
+def _mqtt_config(table: schema.Mqtt) -> MqttConfig | None:
     listen = optional_address_of(table.listen, "mqtt.listen")
-    users = _users(table.users, "mqtt")
+    users = _read_users(table.users, "mqtt")
     if listen is None:
         return None
     if not (users or table.anonymous or table.ca):
-        raise ConfigError("mqtt.users", "nobody could connect: set users, ca or anonymous")
+        raise ConfigError("mqtt.users", "no client could connect: set users, ca or anonymous")
     if table.ca and not table.certificate:
-        raise ConfigError("mqtt.certificate", "ca needs one, for a client shows its certificate over TLS")
+        raise ConfigError(
+            "mqtt.certificate", "must be set if ca is, since clients send their certificates over TLS"
+        )
     return MqttConfig(
         listen, users, table.anonymous, _server_tls(table, "mqtt"), table.keep_alive_s, table.receive_maximum
     )
 
 
-def _cluster(table: schema.Cluster) -> ClusterConfig | None:
+def _cluster_config(table: schema.Cluster) -> ClusterConfig | None:
     if not table.id:
         return None
-    # Imported only where it is on.
+    # Imported only if the cluster is on.
     from puffinpost.config.cluster import cluster_config_of
 
     return cluster_config_of(table)
 
 
-def _flows(table: schema.Ipfix) -> FlowExportConfig | None:
+def _flow_export_config(table: schema.Ipfix) -> FlowExportConfig | None:
     collector = optional_address_of(table.collector, "ipfix.collector")
     return FlowExportConfig(collector, table.observation_domain) if collector is not None else None
 
 
-def _text(path: str, key: str) -> str:
-    """The content of the file that a key names; empty where it names none."""
+def _read_text(path: str, key: str) -> str:
+    """Reads the file that a key names; empty if it names none."""
     try:
         return Path(path).read_text() if path else ""
     except (OSError, UnicodeDecodeError) as problem:
         raise ConfigError(key, f"{path}: {problem}") from None
 
 
-def _users(path: str, table: str) -> Mapping[str, str]:
+def _read_users(path: str, table: str) -> Mapping[str, str]:
     try:
-        users = tomllib.loads(_text(path, f"{table}.users"))
+        users = tomllib.loads(_read_text(path, f"{table}.users"))
     except tomllib.TOMLDecodeError as problem:
         raise ConfigError(f"{table}.users", str(problem)) from None
     if not all(isinstance(password, str) and password for password in users.values()):
-        raise ConfigError(f"{table}.users", "not all passwords are texts")
+        raise ConfigError(f"{table}.users", "every password must be a nonempty string")
     return users
 
 
@@ -244,14 +249,14 @@
     return context
 
 
-def _binding(table: schema.Xmpp) -> bytes:
-    """The channel-binding data for SCRAM; empty where binding is not offered."""
+def _channel_binding(table: schema.Xmpp) -> bytes:
+    """Returns the channel-binding data for SCRAM, empty if channel binding is not offered."""
     if not table.certificate or SCRAM_WITH_BINDING not in table.mechanisms:
         return b""
     from puffinpost.protocol.scram import channel_binding_data
 
     try:
-        return channel_binding_data(_text(table.certificate, "xmpp.certificate"))
+        return channel_binding_data(_read_text(table.certificate, "xmpp.certificate"))
     except ValueError as problem:
         raise ConfigError("xmpp.certificate", str(problem)) from None
 
@@ -264,8 +269,8 @@
     return VerifierStore(users)
 
 
-def _client_tls(transcribers: schema.Transcribers) -> ssl.SSLContext | None:
+def _client_tls(endpoints: schema.XmppEndpoints) -> ssl.SSLContext | None:
     try:
-        return ssl.create_default_context(cafile=transcribers.ca or None) if transcribers.tls else None
+        return ssl.create_default_context(cafile=endpoints.ca or None) if endpoints.tls else None
     except (OSError, ssl.SSLError) as problem:
         raise ConfigError("xmpp.transcribers.ca", str(problem)) from None
--- a/puffinpost/config/errors.py
+++ b/puffinpost/config/errors.py
@@ -6,10 +6,10 @@
 
 
 class ConfigError(PuffinpostError):
-    """A value of the configuration cannot be used.
+    """Raised for an invalid value in the configuration.
 
-    ``key`` is the setting, environment variable or file that is wrong, None where it is not known.
-    ``problem`` says why.
+    ``key`` is the invalid setting, environment variable or file, or None if it is unknown. ``problem`` says
+    what is wrong with it.
     """
 
     def __init__(self, key: str | None, problem: str) -> None:
@@ -19,13 +19,13 @@
 
     @classmethod
     def from_text(cls, text: str) -> ConfigError:
-        """The error of a text in the form ``KEY: PROBLEM``; without a key, all of it is the problem."""
+        """Parses a text of the form ``KEY: PROBLEM``; without a key, the whole text is the problem."""
         key, separator, problem = text.partition(": ")
         return cls(key, problem) if separator else cls(None, text)
 
 
 class ConfigFileNotSetError(ConfigError):
-    """No environment variable names the node's configuration file."""
+    """Raised if the environment variable that names the configuration file is not set."""
 
     def __init__(self, variable: str) -> None:
         super().__init__(
--- a/puffinpost/config/platform_settings.py
+++ b/puffinpost/config/platform_settings.py
@@ -1,7 +1,7 @@
 """The platform's settings: typed access to its JSON tables, and the settings that the balancer runs with.
 
-``config.node`` and ``config.shared_settings`` use it. The simulator's wire form has the same settings by flat
-paths, so nested ones are flattened and read by the same code.
+``config.node`` and ``config.shared_settings`` use this module. The simulator's wire format has the same
+settings under flat paths, so nested settings are flattened and parsed by the same code.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 def value_of(table: dict[str, Any], key: str, kind: type, default: Any, path: str = "") -> Any:
-    """A key's value, else the default; null counts as absent.
+    """Returns the value of a key, or the default; null counts as absent.
 
-    Raises ``ConfigError`` for a value of another type, and where there is neither.
+    Raises ``ConfigError`` for a value of another type, or if there is neither a value nor a default.
     """
     value = table.get(key)
     if value is None:
@@ -33,7 +33,7 @@
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested settings by the simulator's paths. Null counts as absent."""
+    """Flattens nested settings to the simulator's paths. Null counts as absent."""
     prefix = f"{path}." if path else ""
     flat: dict[str, str] = {}
     if isinstance(value, dict):
@@ -44,13 +44,13 @@
         for number, item in enumerate(value):
             flat |= flatten(item, f"{prefix}{number}")
     elif isinstance(value, list):
-        flat[path] = ",".join(_text_of(item) for item in value)
+        flat[path] = ",".join(_to_text(item) for item in value)
     elif value is not None:
-        flat[path] = _text_of(value).strip()
+        flat[path] = _to_text(value).strip()
     return flat
 
 
-def _text_of(value: Any) -> str:
+def _to_text(value: Any) -> str:
     if value is None:
         return "null"
     if isinstance(value, bool):
@@ -59,7 +59,7 @@
 
 
 def parse_settings(raw: dict[str, Any]) -> tuple[Settings, tuple[str, ...]]:
-    """Settings as the platform has them, and the names of their classes. Raises ``ConfigError``."""
+    """Parses the platform's settings. Also returns the names of their classes. Raises ``ConfigError``."""
     raw = {key: value for key, value in raw.items() if value is not None}
     for key in _TABLE_KEYS:
         value_of(raw, key, dict, {}, SETTINGS_PATH)
@@ -70,7 +70,7 @@
     tenant_names = _distinct_names(raw, "Tenants")
     try:
         settings = settings_of(flatten(raw))
-        # Names are taken as they are: one may be empty, or read "null".
+        # Names are used verbatim: one may be empty, or "null".
         tenants = tuple(
             replace(tenant, name=name) for tenant, name in zip(settings.tenants, tenant_names, strict=True)
         )
@@ -87,9 +87,9 @@
 
 def _check_tables(raw: dict[str, Any], key: str) -> None:
     items = value_of(raw, key, list, [], SETTINGS_PATH)
-    others = [item for item in items if not isinstance(item, dict)]
-    if others:
-        raise ConfigError(f"{SETTINGS_PATH}{key}", f"{others[0]!r} is not of type dict")
+    invalid = [item for item in items if not isinstance(item, dict)]
+    if invalid:
+        raise ConfigError(f"{SETTINGS_PATH}{key}", f"{invalid[0]!r} is not of type dict")
 
 
 def _distinct_names(raw: dict[str, Any], key: str) -> tuple[str, ...]:
@@ -100,9 +100,9 @@
 
 
 def _polled_from_local_agent(settings: Settings) -> Settings:
-    """Settings that say that endpoint lists are pushed, as a node on sockets runs with them.
+    """Converts settings under which endpoint lists are pushed to those that a node on sockets runs with.
 
-    The lists are pushed to an agent on this machine and the node polls the agent, at once and at no cost (the
-    protocol page, Discovery). So there is no time over which to spread the calls.
+    The lists are pushed to an agent on this machine, and the node polls the agent, immediately and at no cost
+    (the protocol page, Discovery). So the polls need not be spread over time.
     """
     return replace(settings, endpoint_list_is_polled=True, poll_within_ns=0)
--- a/puffinpost/config/reload.py
+++ b/puffinpost/config/reload.py
@@ -1,6 +1,6 @@
 """Reads the node's configuration file again on SIGHUP.
 
-It says what is in force afterwards and what needs a restart; the runtime applies it.
+The result is the new configuration and the keys that need a restart; the runtime applies it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from puffinpost.config.node import Config, load
 from puffinpost.config.shared_settings import merge_classes
 
-# What only a start can change: its key for operators, and its field of `Config`.
+# Values that only a restart can change: the key that operators see, and the field of `Config`.
 _FIXED_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -26,20 +26,21 @@
     "console": "admin_address",
 }
 _PLACEMENT_FIELDS = ("balancer_index", "zone", "zone_count", "endpoint_type_count")  # of `Settings`
-_PLACEMENT_KEYS = "the node's place and the zones and kinds in settings"
+_PLACEMENT_KEYS = "the node's index and zone and the zones and kinds in settings"
 _START_ONLY_KEY = "known"
 
 
 def reload(current: Config, environ: Mapping[str, str] = os.environ) -> tuple[Config, list[str]]:
-    """What is in force once the file is read again, and the keys that have changed but need a restart.
+    """Reads the file again. Returns the new configuration, and the changed keys that need a restart.
 
-    The environment of a process stays what it was, so a `discovery` that is new in the file overrides
-    ``GW_DISCOVERY``. Raises ``ConfigError``, and then nothing of the file is in force.
+    The environment of a process cannot change, so a new `discovery` in the file overrides ``GW_DISCOVERY``.
+    Raises ``ConfigError`` for an invalid file, which then has no effect.
     """
     loaded = load(environ)
     _check_same_shape(current.raw, loaded.raw, "")
     discovery = _discovery_address(current, loaded)
-    # `known` and the seed are for a start: the node has a newer list, and has drawn from its seed, since.
+    # `known` and the seed apply only at a start: since then, the node has received newer lists and drawn
+    # random numbers from its seed.
     needs_restart = [
         key for key, field in _FIXED_FIELDS.items() if getattr(loaded, field) != getattr(current, field)
     ]
@@ -76,9 +77,9 @@
 
 
 def _merge_tenants(current: Config, loaded: Config) -> tuple[Tenant, ...]:
-    """The tenants in the order of their numbers, by which connections are counted.
+    """Returns the tenants in the order of their numbers, by which connections are counted.
 
-    A tenant that is left out keeps its number and has no quota any more.
+    A tenant that the new file omits keeps its number and has no quota any more.
     """
     tenants = {tenant.name: Tenant(0.0, name=tenant.name) for tenant in current.settings.tenants}
     tenants |= {tenant.name: tenant for tenant in loaded.settings.tenants}
@@ -86,14 +87,15 @@
 
 
 def _check_same_shape(old: Any, new: Any, path: str) -> None:
-    """Guards against a file that was truncated or is half written.
+    """Rejects a truncated or partly written file.
 
-    It must have all keys of the one in force, each of the same type. `known` is for a start only.
+    It must have all keys of the file in force, each with a value of the same type. `known` may be missing,
+    since it applies only at a start.
     """
     if old is None:
         return
     if _type_of(old) is not _type_of(new):
-        problem = "is missing" if new is None else f"{new!r} is not of the type it was"
+        problem = "is missing" if new is None else f"{new!r} is not of the same type as before"
         raise ConfigError(path, problem)
     prefix = f"{path}." if path else ""
     if isinstance(old, dict):
--- a/puffinpost/config/schema.py
+++ b/puffinpost/config/schema.py
@@ -1,7 +1,7 @@
 """The schema of the operator's file, ``deploy/edge.toml``: tables, keys, types, ranges and defaults.
 
-Each table is a struct that defines its keys in one place; unknown keys are faults. The structs hold what the
-file says, and ``config.edge`` makes of it what the node runs with.
+Each table is a struct that defines its keys in one place; unknown keys are faults. The structs hold the
+values of the file, and ``config.edge`` converts them to the configuration that the node runs with.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     """A table of the file."""
 
 
-class Transcribers(Table):
-    """How the node, as an XMPP client, speaks to transcribers."""
+class XmppEndpoints(Table):
+    """How the node, as an XMPP client, connects to endpoints."""
 
     domain: str = "transcribers.localhost"
     port: Port = 0
@@ -51,7 +51,7 @@
     )
     users: str = ""
     stanza_limit: Annotated[int, Meta(ge=MIN_STANZA_LIMIT, le=1024 * 1024)] = 65536
-    transcribers: Transcribers = msgspec.field(default_factory=Transcribers)
+    transcribers: XmppEndpoints = msgspec.field(default_factory=XmppEndpoints)
 
 
 class Mqtt(Table):
@@ -68,7 +68,7 @@
 
 
 class Resume(Table):
-    """Sessions that outlive their connection, on every frontend that can resume them."""
+    """Limits on sessions that outlive their connection, for all frontends that support resumption."""
 
     grace_s: Annotated[int, Meta(ge=0, le=86400)] = 30
     sessions: Annotated[int, Meta(ge=1, le=1_000_000)] = 2000
@@ -87,13 +87,13 @@
 
 
 class Counters(Table):
-    """How often the counters are printed; 0: at exit and on SIGUSR1 only."""
+    """How often the counters are printed; 0: only at exit and on SIGUSR1."""
 
     every_s: Annotated[int, Meta(ge=0, le=86400)] = 0
 
 
 class Log(Table):
-    """How lines of the log look."""
+    """The format and contents of the log."""
 
     format: Literal["text", "json"] = "text"
     trace: bool = False  # a line for each event and action about a request, not rate-limited
@@ -102,8 +102,8 @@
 class Upgrade(Table):
     """When a process hands over to its successor at an upgrade, on a Unix socket in ``$TMPDIR``.
 
-    ``inherited``: only where the platform holds the clients' listening socket for both (``GW_INHERITED_FD``);
-    ``always``: wherever there is a ``$TMPDIR``; ``never``: there is no handover and no Unix socket.
+    ``inherited``: only if the platform holds the clients' listening socket for both (``GW_INHERITED_FD``);
+    ``always``: whenever ``$TMPDIR`` is set; ``never``: no handover and no Unix socket.
     """
 
     hand_over: Literal["inherited", "always", "never"] = "inherited"
@@ -111,19 +111,21 @@
 
 class Rehearsal(Table):
     """For tests only: a clock that runs fast or slow, faults injected into this node, and what a test may
-    change while it runs: the offset of its wall clock, and writes to replicated state.
+    change while the node runs: the offset of its wall clock, and writes to replicated state.
     """
 
     clock_rate: Annotated[float, Meta(ge=0.9, le=1.1)] = 1.0
-    knobs: str = ""  # a folder with `wall-off`: ms, and `writes`: test rows a second, and how many keys
+    # A folder with the files `wall-off` (ms) and `writes` (test rows per second, and the number of keys).
+    knobs: str = ""
     faults: list[Literal["stale_read", "lost_version", "lease_ignored"]] = msgspec.field(default_factory=list)
 
 
 class Replica(Table):
-    """Replicated state; off unless ``on``. All nodes of a cluster should have the same.
+    """Replicated state; off unless ``on``. All nodes of a cluster should have the same settings.
 
-    ``bans``: operators' bans are replicated, and hold at once on both sides of a partition; else they are
-    agreed on. ``remember_s``: how long tombstones are kept; a node may be partitioned for less.
+    ``bans``: operators' bans are replicated, and take effect at once on both sides of a partition; otherwise
+    they are agreed on by consensus. ``remember_s``: how long tombstones are kept; a partition of a node must
+    be shorter.
     """
 
     on: bool = False
@@ -136,14 +138,14 @@
 class Cluster(Table):
     """Consensus with other nodes on versioned documents; off without ``id``. Durations in seconds.
 
-    ``members``: addresses by name, this node among them; ``voters``: 1, 3, 5 or 7 of these names.
-    ``agree_within_s`` is the bound T: no node acts on an old version for longer than that after the first
-    node acted on a newer one.
+    ``members``: addresses by name, including this node's; ``voters``: 1, 3, 5 or 7 of these names.
+    ``agree_within_s`` is the bound T: no node acts on an old version for longer than T after the first node
+    acted on a newer one.
     """
 
     id: str = ""
-    name: str = ""  # the node's own, where empty
-    listen: str = ""  # as in ``members``, where empty
+    name: str = ""  # empty: the name in the node's configuration
+    listen: str = ""  # empty: as in ``members``
     members: dict[str, str] = msgspec.field(default_factory=dict)
     voters: list[str] = msgspec.field(default_factory=list)
     folder: str = ""
@@ -153,7 +155,7 @@
     decide_within_s: Annotated[float, Meta(ge=1, le=3600)] = 10.0
     stage_for_s: Annotated[float, Meta(ge=0.5, le=86400)] = 10.0
     worst_share: Annotated[float, Meta(ge=0, le=1)] = 0.1
-    history: str = ""  # a file in which each version acted on is recorded
+    history: str = ""  # a file that records each version that the node acts on
     replica: Replica = msgspec.field(default_factory=Replica)
     rehearsal: Rehearsal = msgspec.field(default_factory=Rehearsal)
 
@@ -172,7 +174,7 @@
 
 
 class SchemaError(ConfigError):
-    """A key of the file does not fit the schema."""
+    """Raised for a key that does not fit the schema."""
 
 
 _LOCATED_MESSAGE = re.compile(r"^(?P<message>.*?)(?: - at `\$(?P<path>.*)`)?$", re.DOTALL)
@@ -180,9 +182,9 @@
 
 
 def faults(table: dict[str, Any]) -> list[SchemaError]:
-    """Every fault of a file that was parsed, in the order of its keys; empty where it fits the schema.
+    """Returns the faults of a parsed file, in the order of its keys; empty if it fits the schema.
 
-    The library stops at the first fault it meets, so each key is put to it alone.
+    msgspec stops at the first fault, so each key is converted separately.
     """
     return list(_faults(table, Edge, ""))
 
@@ -201,7 +203,7 @@
 
 
 def _fault(message: str, path: str, key: str, value: Any) -> SchemaError:
-    """The library's message, with the key as the operator wrote it and the value that it has."""
+    """Converts msgspec's message to an error with the key as the operator wrote it, and its value."""
     match = _LOCATED_MESSAGE.match(message)
     assert match is not None
     if _UNKNOWN_FIELD.fullmatch(match["message"]):
@@ -212,7 +214,7 @@
 
 
 def edge_of(table: dict[str, Any]) -> Edge:
-    """The file as structs. Raises ``SchemaError`` with the first key that does not fit."""
+    """Converts a parsed file to structs. Raises ``SchemaError`` with the first key that does not fit."""
     for fault in faults(table):
         raise fault
     return msgspec.convert(table, Edge)
--- a/puffinpost/config/shared_settings.py
+++ b/puffinpost/config/shared_settings.py
@@ -1,6 +1,6 @@
-"""Changes of a configuration while the node runs that do not come from its own file.
+"""Changes to a configuration while the node runs that do not come from its own file.
 
-They are the settings that all nodes agree on, and classes that only connections of another process have.
+They are the settings that all nodes agree on, and classes that only handed-over connections use.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from puffinpost.config.node import Config
 from puffinpost.config.platform_settings import parse_settings
 
-RETAINED_CLASSES_KEY = "kept"  # beside the settings, in what all nodes agree on
-NODE_SETTINGS = {"Me", "FleetSize", "Locality", "Dcs", "Kinds"}  # each node's own
+RETAINED_CLASSES_KEY = "kept"  # a key beside the settings in the document that all nodes agree on
+NODE_SETTINGS = {"Me", "FleetSize", "Locality", "Dcs", "Kinds"}  # each node has its own values
 
 
-def with_shared(current: Config, content: Any) -> Config:
-    """The same with the settings that all nodes agree on, a part of ``settings`` as the platform has them.
+def with_shared_settings(current: Config, content: Any) -> Config:
+    """Returns the configuration with the settings that all nodes agree on, a subset of the platform's.
 
-    What concerns this node alone stays as it is. Raises ``ConfigError`` with the key that cannot be used.
+    The settings of this node alone stay as they are. Raises ``ConfigError`` with the key that is invalid.
     """
     if not isinstance(content, dict):
         raise ConfigError("settings", f"{content!r:.40} is not a table")
     shared = {key: value for key, value in content.items() if key != RETAINED_CLASSES_KEY}
-    own = sorted(shared.keys() & NODE_SETTINGS)
-    if own:
-        raise ConfigError(f"settings.{own[0]}", "is each node's own, and not agreed on")
+    node_only = sorted(shared.keys() & NODE_SETTINGS)
+    if node_only:
+        raise ConfigError(f"settings.{node_only[0]}", "is each node's own, and not agreed on")
     settings, names = parse_settings({**current.raw.get("settings", {}), **shared})
     classes = dict(zip(names, settings.classes, strict=True))
     merged = merge_classes(current, classes)
@@ -39,8 +39,8 @@
     )
 
 
-def with_closed(current: Config, name: str) -> Config:
-    """The same with one more class that accepts nothing new: connections of it were handed over."""
+def with_closed_class(current: Config, name: str) -> Config:
+    """Returns the configuration with a class added that accepts nothing new, for handed-over connections."""
     classes = (*current.settings.classes, current.settings.classes[0])
     return replace(
         current,
@@ -51,8 +51,8 @@
 
 
 def merge_classes(current: Config, classes: dict[str, RequestClass]) -> dict[str, RequestClass]:
-    """The current classes in their order, with the new ones in place or after them.
+    """Returns the current classes in their order, each with its new values, and the new classes after them.
 
-    Connections are counted by the number of their class, so that a class that is left out keeps its place.
+    Connections are counted by the number of their class, so a class that is omitted keeps its number.
     """
     return {**dict(zip(current.class_names, current.settings.classes, strict=True)), **classes}
--- a/puffinpost/errors.py
+++ b/puffinpost/errors.py
@@ -1,8 +1,8 @@
-"""The base of the errors that this program raises on purpose.
+"""The base class of the errors that this program raises deliberately.
 
-Each package derives its own from it, with what went wrong as text and where as fields: the key of a setting,
-the peer, the endpoint. An error that is not of this family is a defect, and only the borders that end one
-connection catch it.
+Each package derives its own errors from it. Their text says what failed, and their fields say where: the key
+of a setting, the peer or the endpoint. Any other exception is a defect, and is caught only at the boundaries
+that contain the failure of one connection.
 """
 
 from __future__ import annotations
--- a/puffinpost/runtime/cluster_state.py
+++ b/puffinpost/runtime/cluster_state.py
@@ -41,9 +41,11 @@
         self.node = node
         self.config = cluster_config
         self.base_config = node.config  # of the node's own file, without what is agreed on
-        self.history = History(cluster_config.history, cluster_config.plan.name)
+        self.history = History(cluster_config.history, cluster_config.member_config.name)
         self.cluster = self._open_cluster()
-        self.endpoint_list = SharedEndpointList(node, cluster_config.plan, self.cluster, self.propose)
+        self.endpoint_list = SharedEndpointList(
+            node, cluster_config.member_config, self.cluster, self.propose
+        )
         self.replicated_state = self._open_replicated_state()
         self.cluster.restore_documents()
         node.coordinator.use_activation_guard(self)
@@ -117,7 +119,7 @@
         """Why this node cannot act on a document's content, with its key; empty: it can."""
         if document == SETTINGS_DOCUMENT:
             try:
-                config.with_shared(self.base_config, content)
+                config.with_shared_settings(self.base_config, content)
             except config.ConfigError as problem:
                 return str(problem)
             return retained_classes.retention_problem(content)
@@ -146,7 +148,7 @@
 
     def propose(self, document: str, content: Any, reason: str) -> str:
         """Proposes a version of a document, or a change of one; returns the proposal's id."""
-        name = self.config.plan.name
+        name = self.config.member_config.name
         now_ns = time.time_ns()
         proposal_id = f"{name}-{now_ns:x}"
         self.cluster.propose(Propose(proposal_id, document, content, name, reason, now_ns // NS_PER_S))
@@ -156,7 +158,7 @@
     # --- settings -------------------------------------------------------------------------------------
 
     def _apply_settings(self, content: Any) -> None:
-        self.node.config = config.with_shared(self.base_config, content)
+        self.node.config = config.with_shared_settings(self.base_config, content)
         self.node.apply_configuration()
 
     def on_configuration_reloaded(self) -> None:
--- a/puffinpost/runtime/node.py
+++ b/puffinpost/runtime/node.py
@@ -184,5 +184,5 @@
 
     def _add_closed_class(self, name: str) -> None:
         """Connections are handed over of a class that the configuration does not have any more."""
-        self.config = config.with_closed(self.config, name)
+        self.config = config.with_closed_class(self.config, name)
         self.apply_configuration()
--- a/puffinpost/runtime/replicated_state.py
+++ b/puffinpost/runtime/replicated_state.py
@@ -60,7 +60,7 @@
         if self.replicates_bans:
             self.bans.apply()
         self._update()
-        if self.cluster.config.knobs is not None:
+        if self.cluster.config.test_override_folder is not None:
             self.synthetic_writes.start()
 
     def attempt_started(self, endpoint: str) -> None:
--- a/puffinpost/units.py
+++ b/puffinpost/units.py
@@ -1,4 +1,4 @@
-"""Units of time: spans and moments are integer nanoseconds everywhere, and these name the larger units."""
+"""Units of time. All durations and points in time are integers in nanoseconds; these are larger units."""
 
 from __future__ import annotations
 
--- a/tests/test_cluster_off.py
+++ b/tests/test_cluster_off.py
@@ -103,7 +103,9 @@
 
 def test_a_follower_needs_no_folder() -> None:
     made = for_node(cluster_config_of(table(folder="")), "n3")
-    assert made.folder is None and made.listen == ("127.0.0.1", 7003) and made.plan.sources()[0] == "n0"
+    assert (
+        made.folder is None and made.listen == ("127.0.0.1", 7003) and made.member_config.sources()[0] == "n0"
+    )
 
 
 def test_one_command_starts_three_nodes() -> None:
