--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What cannot be taken: its answer, a log line that names who sent it, a counter, and nobody else hurt."""
+"""Invalid input is answered, logged with its sender and counted, and the node keeps serving other clients."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from stand_ins import NodeProcess, SocketPeer
 from test_mqtt import MqttWorld
 from test_node import OPEN, first_of, fresh
-from test_node import served as served_on_lines
+from test_node import served as serve_over_line_protocol
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment, open_request
 
 from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
 
 
-def named(node: NodeProcess, peer: SocketPeer) -> str:
-    """What the log says of this peer."""
+def log_message_about(node: NodeProcess, peer: SocketPeer) -> str:
+    """Returns the log message about a peer."""
     host, port = peer.socket.getsockname()
     node.wait_for_log(f"{host}:{port}: ")
     return node.log_path.read_text().split(f"{host}:{port}: ")[1].split("\n")[0]
 
 
-def unhurt(deployment: Deployment, node: NodeProcess) -> None:
-    served_on_lines(deployment, node.connect(fresh(OPEN % 3000)))
+def assert_node_serves(deployment: Deployment, node: NodeProcess) -> None:
+    serve_over_line_protocol(deployment, node.connect(fresh(OPEN % 3000)))
     assert node.process.poll() is None
 
 
@@ -37,74 +37,82 @@
         b"OPEN \xff\r\n",
     ],
 )
-def test_a_bad_line_of_a_client(deployment: Deployment, sent: bytes) -> None:
+def test_an_invalid_first_line_of_a_client_is_answered_with_err_logged_and_counted(
+    deployment: Deployment, sent: bytes
+) -> None:
     node = deployment.start()
     peer = node.connect(sent)
     assert peer.read_line() == b"ERR\r\n" and peer.wait_for_close() == "end"
-    assert named(node, peer) and node.read_counters()["bad_lines"] == 1
-    unhurt(deployment, node)
+    assert log_message_about(node, peer) and node.read_counters()["bad_lines"] == 1
+    assert_node_serves(deployment, node)
 
 
-def test_a_bad_packet_of_a_device(deployment: Deployment) -> None:
-    front = MqttWorld(deployment)
-    peer = front.node.connect(b"GET / HTTP/1.1\r\n\r\n", front.port)
+def test_an_invalid_mqtt_packet_closes_its_connection_and_is_logged_and_counted(
+    deployment: Deployment,
+) -> None:
+    frontend = MqttWorld(deployment)
+    peer = frontend.node.connect(b"GET / HTTP/1.1\r\n\r\n", frontend.port)
     assert peer.wait_for_close() == "end"
-    assert named(front.node, peer) and front.node.read_counters()["mqtt_bad_packets"] == 1
-    unhurt(deployment, front.node)
+    assert log_message_about(frontend.node, peer) and frontend.node.read_counters()["mqtt_bad_packets"] == 1
+    assert_node_serves(deployment, frontend.node)
 
 
-def test_a_bad_stream_of_a_client(deployment: Deployment) -> None:
-    front = XmppDeployment(deployment)
-    peer = front.connect(STREAM_HEADER + b"<a></b>")
+def test_an_invalid_xmpp_stream_is_closed_logged_and_counted(deployment: Deployment) -> None:
+    frontend = XmppDeployment(deployment)
+    peer = frontend.connect(STREAM_HEADER + b"<a></b>")
     peer.read_until(b"</stream:stream>")
-    assert named(front.node, peer).startswith("not-well-formed")
-    assert front.node.read_counters()["xmpp_bad_streams"] == 1 and front.node.process.poll() is None
+    assert log_message_about(frontend.node, peer).startswith("not-well-formed")
+    assert frontend.node.read_counters()["xmpp_bad_streams"] == 1 and frontend.node.process.poll() is None
 
 
-def test_a_bad_session_of_a_device(deployment: Deployment) -> None:
-    front = MqttWorld(deployment)
-    phone = front.phone()
-    phone.subscribe()
-    phone.publish("open", b"OPEN 1 2 c=live-text,d=soon")
-    phone.flush()
-    assert named(front.node, phone.peer) and front.node.read_counters()["bad_lines"] == 1
-    unhurt(deployment, front.node)
+def test_an_invalid_open_message_of_an_mqtt_client_is_logged_and_counted(deployment: Deployment) -> None:
+    frontend = MqttWorld(deployment)
+    device = frontend.phone()
+    device.subscribe()
+    device.publish("open", b"OPEN 1 2 c=live-text,d=soon")
+    device.flush()
+    assert log_message_about(frontend.node, device.peer) and frontend.node.read_counters()["bad_lines"] == 1
+    assert_node_serves(deployment, frontend.node)
 
 
-def test_a_bad_session_of_an_xmpp_client(deployment: Deployment) -> None:
-    front = XmppDeployment(deployment)
-    peer, _ = front.connect_and_bind()
+def test_an_invalid_session_request_of_an_xmpp_client_is_rejected_logged_and_counted(
+    deployment: Deployment,
+) -> None:
+    frontend = XmppDeployment(deployment)
+    peer, _ = frontend.connect_and_bind()
     peer.send(open_request(2000, "other"))
     assert b"<bad-request" in peer.read_until(b"</iq>")
-    assert named(front.node, peer) and front.node.read_counters()["bad_lines"] == 1
+    assert log_message_about(frontend.node, peer) and frontend.node.read_counters()["bad_lines"] == 1
 
 
-@pytest.mark.parametrize("stands", [False, True])
-def test_a_bad_line_of_a_transcriber(deployment: Deployment, stands: bool) -> None:
-    """Before it stands the client is served elsewhere, for its class may be repeated."""
+@pytest.mark.parametrize("established", [False, True])
+def test_an_invalid_line_of_an_endpoint_ends_its_attempt_and_is_logged_and_counted(
+    deployment: Deployment, established: bool
+) -> None:
+    """Before the session is established the client is retried elsewhere, since its class is idempotent."""
     node = deployment.start()
     client = node.connect(fresh(OPEN % 3000))
-    server, relay = first_of(deployment.endpoints)
-    relay.read_line()
-    if stands:
-        relay.send(b"UP 1\r\n")
+    endpoint, upstream = first_of(deployment.endpoints)
+    upstream.read_line()
+    if established:
+        upstream.send(b"UP 1\r\n")
         assert client.read_line() == b"UP 1\r\n"
-    relay.send(b"x" * 5000)
-    name = f"s-{deployment.endpoints.index(server)}"
+    upstream.send(b"x" * 5000)
+    name = f"s-{deployment.endpoints.index(endpoint)}"
     node.wait_for_log(f"bad line from transcriber {name}: ")
-    assert node.read_counters()["bad_answers"] == 1 and relay.wait_for_close() in ("end", "reset")
-    if stands:
+    assert node.read_counters()["bad_answers"] == 1 and upstream.wait_for_close() in ("end", "reset")
+    if established:
         assert client.wait_for_close() == "reset"
     else:
-        served_on_lines(deployment, client)
-    unhurt(deployment, node)
+        serve_over_line_protocol(deployment, client)
+    assert_node_serves(deployment, node)
 
 
-def test_bad_input_by_the_hundred_is_a_few_lines_of_the_log(deployment: Deployment) -> None:
+def test_log_messages_about_invalid_lines_are_rate_limited(deployment: Deployment) -> None:
     node = deployment.start()
-    began = time.monotonic()
+    start_s = time.monotonic()
     for _ in range(100):
         assert node.connect(b"GARBAGE\r\n").read_line() == b"ERR\r\n"
     assert node.read_counters()["bad_lines"] == 100
-    said = len(re.findall("bad line from a client at", node.log_path.read_text()))
-    assert 1 <= said <= MAX_HIGH_VOLUME_LINES_PER_SECOND * (time.monotonic() - began + 2)
+    logged_count = len(re.findall("bad line from a client at", node.log_path.read_text()))
+    assert 1 <= logged_count <= MAX_HIGH_VOLUME_LINES_PER_SECOND * (time.monotonic() - start_s + 2)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,9 +17,9 @@
 from puffinpost.observability import log
 
 
-def run_command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "puffinpost", *words], cwd=ROOT, capture_output=True, text=True, timeout=30
+        [sys.executable, "-m", "puffinpost", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=30
     )
 
 
@@ -29,9 +29,9 @@
         '[xmpp]\nlisten = 3\nlisten_ = ""\nmechanisms = ["PLAIN", "X"]\n[xmpp.transcribers]\n'
         "port = 99999\n[resume]\ngrace_s = -1\n[zz]\n"
     )
-    made = run_command("check", str(path))
-    assert made.returncode == 1
-    keys = [line.split(":")[0] for line in made.stderr.splitlines()]
+    completed = run_command("check", str(path))
+    assert completed.returncode == 1
+    keys = [line.split(":")[0] for line in completed.stderr.splitlines()]
     assert keys == [
         "xmpp.listen",
         "xmpp.listen_",
@@ -52,24 +52,26 @@
         ("[xmpp.transcribers]\nmechanism = 'PLAIN'", "xmpp.transcribers.tls"),
     ],
 )
-def test_check_reports_keys_that_need_others(tmp_path: Path, text: str, key: str) -> None:
+def test_check_reports_faults_that_the_schema_does_not_cover(tmp_path: Path, text: str, key: str) -> None:
     path = tmp_path / "edge.toml"
     path.write_text(text)
-    made = run_command("check", str(path))
-    assert made.returncode == 1 and made.stderr.startswith(f"{key}: ")
+    completed = run_command("check", str(path))
+    assert completed.returncode == 1 and completed.stderr.startswith(f"{key}: ")
 
 
-def test_deployed_operators_file_holds_the_defaults() -> None:
+def test_deployed_operator_file_contains_the_defaults() -> None:
     assert run_command("check", "deploy/edge.toml").returncode == 0
-    told = tomllib.loads((ROOT / "deploy" / "edge.toml").read_text())
-    assert told == msgspec.to_builtins(schema.Edge())
+    deployed = tomllib.loads((ROOT / "deploy" / "edge.toml").read_text())
+    assert deployed == msgspec.to_builtins(schema.Edge())
 
 
-def test_plain_start_imports_no_command_line() -> None:
-    names = ("click", "structlog", "pyexpat", "puffinpost.resumption.registry")
-    code = f"import sys, puffinpost.runtime.node_process; print([m for m in {names} if m in sys.modules])"
-    made = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30)
-    assert made.stdout.strip() == "[]"
+def test_node_start_imports_neither_the_command_line_nor_unused_modules() -> None:
+    modules = ("click", "structlog", "pyexpat", "puffinpost.resumption.registry")
+    code = f"import sys, puffinpost.runtime.node_process; print([m for m in {modules} if m in sys.modules])"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30
+    )
+    assert completed.stdout.strip() == "[]"
 
 
 @pytest.mark.parametrize("form", ["text", "json"])
@@ -90,13 +92,13 @@
         log.configure()
     lines = capsys.readouterr().err.splitlines()
     if form == "json":
-        told = [orjson.loads(line) for line in lines]
-        assert [item["event"] for item in told] == (
+        events = [orjson.loads(line) for line in lines]
+        assert [item["event"] for item in events] == (
             ["from a client"] * log.MAX_HIGH_VOLUME_LINES_PER_SECOND
             + ["for operators"] * (log.MAX_LINES_PER_SECOND - log.MAX_HIGH_VOLUME_LINES_PER_SECOND)
             + ["after"]
         )
-        assert told[0]["number"] == 0 and told[-1]["dropped"] == 40 and "high_volume" not in told[0]
+        assert events[0]["number"] == 0 and events[-1]["dropped"] == 40 and "high_volume" not in events[0]
     else:
         assert lines[0] == "puffinpost: from a client number=0"
         assert lines[-2:] == ["puffinpost: 40 lines dropped", "puffinpost: after"] and len(lines) == 22
--- a/tests/test_health_checker.py
+++ b/tests/test_health_checker.py
@@ -1,4 +1,4 @@
-"""Connections of health checks, and an aborted attempt: real sockets, without a node."""
+"""Connections of health checks, and an aborted attempt, on real sockets without a node."""
 
 from __future__ import annotations
 
@@ -20,135 +20,140 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Checks:
+class CheckRunner:
     """A health checker and its results, in order."""
 
-    def __init__(self, limit_ms: int = 5000) -> None:
+    def __init__(self, timeout_ms: int = 5000) -> None:
         self.results: list[AttemptResult] = []
-        self.told = asyncio.Event()
-        self.checker = HealthChecker(lambda: ("x0",), lambda: limit_ms * 1_000_000, self._done)
+        self.completed = asyncio.Event()
+        self.checker = HealthChecker(lambda: ("x0",), lambda: timeout_ms * 1_000_000, self._on_checked)
 
-    def _done(self, server: int, result: AttemptResult, took_ns: int, report: tuple[float, ...]) -> None:
+    def _on_checked(
+        self, endpoint: int, result: AttemptResult, duration_ns: int, report: tuple[float, ...]
+    ) -> None:
         self.results.append(result)
-        self.told.set()
+        self.completed.set()
 
-    async def ask(self, server: int, address: tuple[str, int]) -> AttemptResult:
-        self.told.clear()
-        self.checker.check(server, address)
-        await asyncio.wait_for(self.told.wait(), 10)
+    async def run_check(self, endpoint: int, address: tuple[str, int]) -> AttemptResult:
+        self.completed.clear()
+        self.checker.check(endpoint, address)
+        await asyncio.wait_for(self.completed.wait(), 10)
         return self.results[-1]
 
 
-async def listening(serve: Serve) -> tuple[asyncio.Server, tuple[str, int]]:
-    made = await asyncio.start_server(serve, "127.0.0.1", 0)
-    return made, made.sockets[0].getsockname()[:2]
+async def start_server(serve: Serve) -> tuple[asyncio.Server, tuple[str, int]]:
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    return server, server.sockets[0].getsockname()[:2]
 
 
 def test_a_cached_connection_closed_by_the_endpoint_is_not_a_failed_check() -> None:
-    """It closes idle ones: the second probe's line meets that end, and is asked anew."""
-    asked = []
+    """The endpoint closes the idle connection as the second check arrives, and the check is sent again."""
+    requests = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
-        asked.append("first")
+        requests.append("first")
         writer.write(PONG)
         if await reader.readline():
-            asked.append("second")
+            requests.append("second")
             writer.transport.abort()
 
-    async def play() -> list[AttemptResult]:
-        made, address = await listening(serve)
-        probes = Checks()
-        await probes.ask(1, address)
-        await probes.ask(1, address)
-        made.close()
-        return probes.results
+    async def run() -> list[AttemptResult]:
+        server, address = await start_server(serve)
+        checks = CheckRunner()
+        await checks.run_check(1, address)
+        await checks.run_check(1, address)
+        server.close()
+        return checks.results
 
-    assert asyncio.run(play()) == [AttemptResult.SERVED, AttemptResult.SERVED]
-    assert asked == ["first", "second", "first"]
+    assert asyncio.run(run()) == [AttemptResult.SERVED, AttemptResult.SERVED]
+    assert requests == ["first", "second", "first"]
 
 
-@pytest.mark.parametrize("wanted", [True, False])
-def test_an_endpoint_that_starts_draining_while_a_check_connects_is_not_checked(wanted: bool) -> None:
-    held = UnacceptingServer()
+@pytest.mark.parametrize("included", [True, False])
+def test_an_endpoint_that_starts_draining_while_a_check_connects_is_not_checked(included: bool) -> None:
+    unaccepting = UnacceptingServer()
 
-    async def play() -> AttemptResult:
-        probes = Checks()
-        asked = asyncio.create_task(probes.ask(1, ("127.0.0.1", held.port)))
+    async def run() -> AttemptResult:
+        checks = CheckRunner()
+        pending_check = asyncio.create_task(checks.run_check(1, ("127.0.0.1", unaccepting.port)))
         await asyncio.sleep(0)
-        probes.checker.close_excluded(lambda server: wanted)
-        peer = await asyncio.to_thread(held.accept_pending)
-        if wanted:
+        checks.checker.close_excluded(lambda endpoint: included)
+        peer = await asyncio.to_thread(unaccepting.accept_pending)
+        if included:
             assert await asyncio.to_thread(peer.read_line) == b"STATS\r\n"
             peer.send(PONG)
         else:
             assert await asyncio.to_thread(peer.wait_for_close) == "end" and peer.buffer == b""
-        return await asked
+        return await pending_check
 
-    assert asyncio.run(play()) is (AttemptResult.SERVED if wanted else AttemptResult.SUPERSEDED)
+    assert asyncio.run(run()) is (AttemptResult.SERVED if included else AttemptResult.SUPERSEDED)
 
 
-def test_cached_connections_are_limited() -> None:
-    """A fleet may have ninety transcribers, and the descriptors are counted."""
+def test_cached_connections_are_limited_and_closed_when_their_endpoints_are_excluded() -> None:
+    """A fleet may have 90 endpoints, and the node has few descriptors for health checks."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        open_now.add(writer)
+        open_connections.add(writer)
         while await reader.readline():
-            asked.set()
-            await answers.wait()
+            check_received.set()
+            await answers_allowed.wait()
             writer.write(PONG)
-        open_now.discard(writer)
+        open_connections.discard(writer)
         writer.close()
 
-    open_now: set[asyncio.StreamWriter] = set()
-    asked, answers = asyncio.Event(), asyncio.Event()
+    open_connections: set[asyncio.StreamWriter] = set()
+    check_received, answers_allowed = asyncio.Event(), asyncio.Event()
 
-    async def play() -> None:
-        made, address = await listening(serve)
-        probes = Checks()
-        answers.set()
-        for server in range(3 * MAX_CACHED_CONNECTIONS):
-            assert await probes.ask(server, address) is AttemptResult.SERVED
-        while len(open_now) > MAX_CACHED_CONNECTIONS:
+    async def run() -> None:
+        server, address = await start_server(serve)
+        checks = CheckRunner()
+        answers_allowed.set()
+        for endpoint in range(3 * MAX_CACHED_CONNECTIONS):
+            assert await checks.run_check(endpoint, address) is AttemptResult.SERVED
+        while len(open_connections) > MAX_CACHED_CONNECTIONS:
             await asyncio.sleep(0.01)
-        probes.checker.close_excluded(lambda server: False)
-        while open_now:
+        checks.checker.close_excluded(lambda endpoint: False)
+        while open_connections:
             await asyncio.sleep(0.01)
-        probes.checker.close_excluded(lambda server: True)
-        asked.clear()
-        answers.clear()
-        out = asyncio.create_task(probes.ask(1, address))
-        await asked.wait()
-        probes.checker.close_excluded(lambda server: False)  # it is told to drain while the probe is out
-        answers.set()
-        assert await out is AttemptResult.SERVED
-        while open_now:
+        checks.checker.close_excluded(lambda endpoint: True)
+        check_received.clear()
+        answers_allowed.clear()
+        pending_check = asyncio.create_task(checks.run_check(1, address))
+        await check_received.wait()
+        # The endpoint starts draining while the check is in flight.
+        checks.checker.close_excluded(lambda endpoint: False)
+        answers_allowed.set()
+        assert await pending_check is AttemptResult.SERVED
+        while open_connections:
             await asyncio.sleep(0.01)
-        made.close()
+        server.close()
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(run(), 20))
 
 
-@pytest.mark.parametrize(("limit_ms", "result"), [(100, AttemptResult.TIMEOUT), (2000, AttemptResult.SERVED)])
-def test_a_check_times_out_after_the_dial_timeout(limit_ms: int, result: AttemptResult) -> None:
-    """As the settings have it: what was one site's figure gave up on another's transcribers."""
+@pytest.mark.parametrize(
+    ("timeout_ms", "result"), [(100, AttemptResult.TIMEOUT), (2000, AttemptResult.SERVED)]
+)
+def test_a_check_times_out_after_the_dial_timeout(timeout_ms: int, result: AttemptResult) -> None:
+    """The timeout is a setting: a fixed value that suited one site was too short for another's endpoints."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         await asyncio.sleep(0.4)
         writer.write(PONG)
 
-    async def play() -> AttemptResult:
-        made, address = await listening(serve)
-        got = await Checks(limit_ms).ask(1, address)
-        made.close()
-        return got
+    async def run() -> AttemptResult:
+        server, address = await start_server(serve)
+        actual = await CheckRunner(timeout_ms).run_check(1, address)
+        server.close()
+        return actual
 
-    assert asyncio.run(play()) is result
+    assert asyncio.run(run()) is result
 
 
 class Stub:
-    """What stands for a core, a session and a relay here."""
+    """Stands in for a coordinator, a session or an attempt."""
 
     exchange: Any
 
@@ -156,30 +161,30 @@
         return Stub()
 
 
-@pytest.mark.parametrize("stands", [False, True])
-def test_an_unsent_request_is_dropped_when_its_attempt_is_aborted(stands: bool) -> None:
-    """It counts as never sent. What a client wrote on a connection that stands goes out."""
+@pytest.mark.parametrize("established", [False, True])
+def test_an_unsent_request_is_dropped_when_its_attempt_is_aborted(established: bool) -> None:
+    """The request counts as never sent. Client data on an established connection is still sent."""
 
-    async def play() -> int:
-        server = socket.create_server(("127.0.0.1", 0))
-        ours = socket.create_connection(server.getsockname())
-        theirs = server.accept()[0]
-        ours.setblocking(False)
-        link = Connection(create_stream(ours))
-        relay: Any = Stub()
-        relay.exchange = Stub()
-        relay.exchange.established = stands
+    async def run() -> int:
+        listener = socket.create_server(("127.0.0.1", 0))
+        local = socket.create_connection(listener.getsockname())
+        remote = listener.accept()[0]
+        local.setblocking(False)
+        connection = Connection(create_stream(local))
+        attempt: Any = Stub()
+        attempt.exchange = Stub()
+        attempt.exchange.established = established
         session: Any = Stub()
-        side = PlatformUpstream(session, relay, None)
-        side.connection = link
-        link.write(b"x" * 20_000_000)
-        side.close()
-        theirs.setblocking(False)
-        got = 0
-        while data := await asyncio.get_running_loop().sock_recv(theirs, 1 << 20):
-            got += len(data)
-        theirs.close()
-        server.close()
-        return got
-
-    assert (asyncio.run(asyncio.wait_for(play(), 10)) == 20_000_000) is stands
+        upstream = PlatformUpstream(session, attempt, None)
+        upstream.connection = connection
+        connection.write(b"x" * 20_000_000)
+        upstream.close()
+        remote.setblocking(False)
+        received = 0
+        while data := await asyncio.get_running_loop().sock_recv(remote, 1 << 20):
+            received += len(data)
+        remote.close()
+        listener.close()
+        return received
+
+    assert (asyncio.run(asyncio.wait_for(run(), 10)) == 20_000_000) is established
