--- a/puffinpost/config/node.py
+++ b/puffinpost/config/node.py
@@ -57,7 +57,7 @@
     descriptor_limit: int
     client_descriptor_limit: int  # the part of it for client connections and their upstream connections
     discovery_in_file: str = ""  # as in the file, whatever the environment says
-    closed_classes: frozenset[str] = frozenset()  # classes that a reload removed: they accept nothing new
+    closed_classes: frozenset[str] = frozenset()  # removed or only handed over: they accept nothing new
     raw: dict[str, Any] = field(default_factory=dict)  # the file in force
     startup_endpoint_list: dict[str, Any] = field(default_factory=dict)  # the key `known` of the file
     cluster: ClusterConfig | None = None  # None: the node is in no cluster
@@ -187,8 +187,9 @@
 def handover_folder(mode: str, folder: str, inherited: int | None) -> str:
     """Returns the folder for the socket between a process and its predecessor or successor; empty for none.
 
-    With "inherited", no Unix socket is used unless the platform gives a sign of a second process, since a
-    fleet's nodes are restarted one by one, and a filter there may allow only TCP and UDP sockets over IPv4.
+    With "inherited", no Unix socket is used unless the platform shows by an inherited descriptor that there
+    may be a second process: a fleet's nodes are restarted one by one, and a filter there may allow only TCP
+    and UDP sockets over IPv4.
     """
     if mode == HAND_OVER_ALWAYS or (mode == HAND_OVER_INHERITED and inherited is not None):
         return folder
--- a/puffinpost/net/connection.py
+++ b/puffinpost/net/connection.py
@@ -123,7 +123,7 @@
         except CONNECTION_ENDED:
             raise
         except Exception:  # noqa: BLE001 (boundary: a defect must end this connection only)
-            log.exception("connection ended")
+            log.exception("connection closed after an internal error")
             receiver.on_internal_error()
 
     async def _read_until_closed(self, receiver: Receiver) -> None:
--- a/puffinpost/net/discovery_client.py
+++ b/puffinpost/net/discovery_client.py
@@ -164,7 +164,7 @@
             log.info("discovery call failed", reason=f"{type(problem).__name__} {problem}")
         except Exception:  # noqa: BLE001
             # Boundary: a defect must not end the watch for good. The next call follows after a backoff.
-            log.exception("discovery")
+            log.exception("discovery watch failed")
         finally:
             if connection is not None:
                 connection.close()
@@ -225,7 +225,7 @@
             pass  # nothing depends on this call any more
         except Exception:  # noqa: BLE001
             # Boundary: the task has no caller that could handle a defect.
-            log.exception("discovery")
+            log.exception("late discovery answer failed")
         finally:
             answer.cancel()
             connection.close()
--- a/puffinpost/net/flow_exporter.py
+++ b/puffinpost/net/flow_exporter.py
@@ -1,6 +1,7 @@
 """Exports flow records to an IPFIX collector over TCP.
 
-The coordinator reports completed exchanges. A slow or absent collector loses records, but delays no client.
+The coordinator reports completed exchanges. A slow or absent collector causes records to be dropped,
+but never delays a client.
 """
 
 from __future__ import annotations
@@ -86,7 +87,7 @@
                 except (StreamClosedError, TimeoutError) as error:
                     log.info("flow collector disconnected", reason=type(error).__name__)
                 except Exception:  # noqa: BLE001 (boundary: a defect must not end the export)
-                    log.exception("flow export")
+                    log.exception("flow export failed")
                 finally:
                     connection.close(reset=True)
             await asyncio.sleep(RECONNECT_INTERVAL_S)
--- a/puffinpost/net/handover_channel.py
+++ b/puffinpost/net/handover_channel.py
@@ -21,7 +21,7 @@
 
 MAX_MESSAGE_BYTES = 160 * 1024  # below the kernel's default limit for one message
 MAX_SOCKETS_PER_MESSAGE = 2
-MAX_MESSAGES_PER_TURN = 16  # received before the event loop gets its turn
+MAX_MESSAGES_PER_TURN = 16  # received before other callbacks run
 MAX_SOCKET_PATH_BYTES = 100  # a longer path is reached through its directory's descriptor
 
 HandoverMessage = dict[str, Any]
@@ -48,7 +48,7 @@
         self._flush()
 
     def send_with_sockets(self, message: HandoverMessage, sockets: list[socket.socket]) -> bool:
-        """Sends a message with sockets, which may be closed here afterwards. Returns False if that fails."""
+        """Sends a message with sockets, which may then be closed here. Returns False if it cannot now."""
         if self.closed or self._unsent:
             return False
         try:
@@ -103,7 +103,7 @@
             try:
                 self.on_message(orjson.loads(data), sockets)
             except Exception:  # noqa: BLE001 (boundary: a defect with one message must not end the channel)
-                log.exception("handover message")
+                log.exception("handover message failed")
                 for each in sockets:
                     each.close()
 
--- a/puffinpost/net/health_checker.py
+++ b/puffinpost/net/health_checker.py
@@ -71,7 +71,7 @@
         except (StreamClosedError, OSError, lines.LineError):
             result = AttemptResult.RESET
         except Exception:  # noqa: BLE001 (boundary: a defect in a check is reported as its result)
-            log.exception("health check")
+            log.exception("health check raised an exception")
         finally:
             self.on_checked(endpoint, result, time.monotonic_ns() - started_ns, report)
 
--- a/puffinpost/net/listener.py
+++ b/puffinpost/net/listener.py
@@ -14,7 +14,7 @@
 from puffinpost.net.stream import READ_CHUNK_BYTES, create_stream
 
 BACKLOG = 4096
-MAX_ACCEPTS_PER_TURN = 16  # before the event loop gets its turn
+MAX_ACCEPTS_PER_TURN = 16  # before other callbacks run
 ACCEPT_RETRY_S = 0.02  # the delay after a connection could not be accepted
 
 
--- a/puffinpost/net/stream.py
+++ b/puffinpost/net/stream.py
@@ -14,7 +14,7 @@
 
 
 class EndNotifyingStream(IOStream):
-    """An IOStream that reports the end of the peer's input before it closes, so that it can be answered."""
+    """An IOStream that reports the end of the peer's input before it closes, so a response can be sent."""
 
     on_end_of_stream: Callable[[], None] | None = None
 
@@ -29,7 +29,7 @@
             try:
                 callback()
             except Exception:  # noqa: BLE001 (boundary: a defect in a frontend must not break the stream)
-                log.exception("connection ended")
+                log.exception("end-of-stream callback failed")
         return size
 
 
