--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -289,7 +289,10 @@
     )
     node = deployment.start(shell_command=f'exec {sys.executable} -c "{code}"')
     assert node.stop() == 0
-    assert "ends; counts" in node.log_path.read_text() and "taken down" not in node.log_path.read_text()
+    assert (
+        "node stopped node=n0 counters=" in node.log_path.read_text()
+        and "taken down" not in node.log_path.read_text()
+    )
 
 
 def test_complete_line_that_is_unread_at_shutdown_is_answered(deployment: Deployment) -> None:
