--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import NodeProcess, SocketPeer
-from test_mqtt import MqttWorld
+from test_mqtt import MqttDeployment
 from test_node import OPEN, first_of, fresh
 from test_node import served as serve_over_line_protocol
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment, open_request
@@ -16,11 +16,12 @@
 from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
 
 
-def log_message_about(node: NodeProcess, peer: SocketPeer) -> str:
-    """Returns the log message about a peer."""
+def logged_reason(node: NodeProcess, peer: SocketPeer, separator: str = " reason=") -> str:
+    """Returns the reason that the log gives for rejecting this peer's input."""
     host, port = peer.socket.getsockname()
-    node.wait_for_log(f"{host}:{port}: ")
-    return node.log_path.read_text().split(f"{host}:{port}: ")[1].split("\n")[0]
+    address = f"{host}:{port}{separator}"
+    node.wait_for_log(address)
+    return node.log_path.read_text().split(address)[1].split("\n")[0]
 
 
 def assert_node_serves(deployment: Deployment, node: NodeProcess) -> None:
@@ -43,17 +44,17 @@
     node = deployment.start()
     peer = node.connect(sent)
     assert peer.read_line() == b"ERR\r\n" and peer.wait_for_close() == "end"
-    assert log_message_about(node, peer) and node.read_counters()["bad_lines"] == 1
+    assert logged_reason(node, peer) and node.read_counters()["bad_lines"] == 1
     assert_node_serves(deployment, node)
 
 
 def test_an_invalid_mqtt_packet_closes_its_connection_and_is_logged_and_counted(
     deployment: Deployment,
 ) -> None:
-    frontend = MqttWorld(deployment)
+    frontend = MqttDeployment(deployment)
     peer = frontend.node.connect(b"GET / HTTP/1.1\r\n\r\n", frontend.port)
     assert peer.wait_for_close() == "end"
-    assert log_message_about(frontend.node, peer) and frontend.node.read_counters()["mqtt_bad_packets"] == 1
+    assert logged_reason(frontend.node, peer) and frontend.node.read_counters()["mqtt_bad_packets"] == 1
     assert_node_serves(deployment, frontend.node)
 
 
@@ -61,17 +62,17 @@
     frontend = XmppDeployment(deployment)
     peer = frontend.connect(STREAM_HEADER + b"<a></b>")
     peer.read_until(b"</stream:stream>")
-    assert log_message_about(frontend.node, peer).startswith("not-well-formed")
+    assert logged_reason(frontend.node, peer, ": ").startswith("not-well-formed")
     assert frontend.node.read_counters()["xmpp_bad_streams"] == 1 and frontend.node.process.poll() is None
 
 
 def test_an_invalid_open_message_of_an_mqtt_client_is_logged_and_counted(deployment: Deployment) -> None:
-    frontend = MqttWorld(deployment)
-    device = frontend.phone()
+    frontend = MqttDeployment(deployment)
+    device = frontend.connect_device()
     device.subscribe()
     device.publish("open", b"OPEN 1 2 c=live-text,d=soon")
     device.flush()
-    assert log_message_about(frontend.node, device.peer) and frontend.node.read_counters()["bad_lines"] == 1
+    assert logged_reason(frontend.node, device.peer) and frontend.node.read_counters()["bad_lines"] == 1
     assert_node_serves(deployment, frontend.node)
 
 
@@ -82,7 +83,7 @@
     peer, _ = frontend.connect_and_bind()
     peer.send(open_request(2000, "other"))
     assert b"<bad-request" in peer.read_until(b"</iq>")
-    assert log_message_about(frontend.node, peer) and frontend.node.read_counters()["bad_lines"] == 1
+    assert logged_reason(frontend.node, peer, ": ") and frontend.node.read_counters()["bad_lines"] == 1
 
 
 @pytest.mark.parametrize("established", [False, True])
@@ -99,7 +100,7 @@
         assert client.read_line() == b"UP 1\r\n"
     upstream.send(b"x" * 5000)
     name = f"s-{deployment.endpoints.index(endpoint)}"
-    node.wait_for_log(f"bad line from transcriber {name}: ")
+    node.wait_for_log(f"invalid line from an endpoint endpoint={name} reason=")
     assert node.read_counters()["bad_answers"] == 1 and upstream.wait_for_close() in ("end", "reset")
     if established:
         assert client.wait_for_close() == "reset"
@@ -114,5 +115,5 @@
     for _ in range(100):
         assert node.connect(b"GARBAGE\r\n").read_line() == b"ERR\r\n"
     assert node.read_counters()["bad_lines"] == 100
-    logged_count = len(re.findall("bad line from a client at", node.log_path.read_text()))
+    logged_count = len(re.findall("invalid line from a client peer=", node.log_path.read_text()))
     assert 1 <= logged_count <= MAX_HIGH_VOLUME_LINES_PER_SECOND * (time.monotonic() - start_s + 2)
