--- a/puffinpost/cli/commands/__init__.py
+++ b/puffinpost/cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The definitions of the sub-commands, one module a group. Each imports what it runs when it is called."""
+"""The definitions of the subcommands, one module per group. Each imports its implementation when called."""
--- a/puffinpost/cli/commands/demo.py
+++ b/puffinpost/cli/commands/demo.py
@@ -6,13 +6,16 @@
 
 
 @click.command("try")
-@click.option("--rounds", default=0, help="End after so many; 0: at Ctrl-C.")
-@click.option("--pause-s", default=5.0, show_default=True, help="Between two rounds.")
-@click.option("--nodes", default=1, type=click.IntRange(1, 200), help="Several agree with one another.")
+@click.option("--rounds", default=0, help="Number of rounds; 0: until Ctrl-C.")
+@click.option("--pause-s", default=5.0, show_default=True, help="Pause between two rounds.")
+@click.option(
+    "--nodes", default=1, type=click.IntRange(1, 200), help="Number of nodes; several form a cluster."
+)
 def try_(rounds: int, pause_s: float, nodes: int) -> None:
-    """Start a small world on loopback, with one node and all its fronts, and open sessions in it.
+    """Start a node with all frontends and stand-in endpoints on loopback, and open sessions through it.
 
-    With --nodes, so many nodes that agree on settings, bans and the list, and clients at each.
+    With --nodes, start a cluster of nodes that agree on settings, bans and the endpoint list, with clients
+    at each.
     """
     if nodes > 1:
         from puffinpost.cli.local_cluster import run as run_cluster
--- a/puffinpost/cli/commands/link.py
+++ b/puffinpost/cli/commands/link.py
@@ -14,7 +14,7 @@
 
 
 class ImpairmentOptions(TypedDict):
-    """The options of the command that describe the link."""
+    """The options that describe the link."""
 
     delay_ms: float
     jitter_ms: float
@@ -28,22 +28,30 @@
 
 
 @click.command()
-@click.option("--listen", required=True, metavar="HOST:PORT", help="Where devices connect; loopback.")
-@click.option("--to", required=True, metavar="HOST:PORT", help="Where what they send goes.")
-@click.option("--delay-ms", default=0.0, help="One way.")
-@click.option("--jitter-ms", default=0.0, help="Up to so much more, evenly spread.")
-@click.option("--stall-percent", default=0.0, help="Of the pieces read: how many are lost and sent again.")
-@click.option("--stall-ms", default=200.0, show_default=True, help="How long a loss takes to be made good.")
-@click.option("--rate-kbit", default=0.0, help="Kilobits a second, each way; 0: no limit.")
-@click.option("--cut-after", default=0, metavar="BYTES", help="Reset a connection after so many bytes.")
+@click.option(
+    "--listen", required=True, metavar="HOST:PORT", help="Loopback address that devices connect to."
+)
+@click.option("--to", required=True, metavar="HOST:PORT", help="Address that connections are forwarded to.")
+@click.option("--delay-ms", default=0.0, help="Delay in each direction.")
+@click.option("--jitter-ms", default=0.0, help="Largest extra delay, uniformly distributed.")
+@click.option(
+    "--stall-percent", default=0.0, help="Percentage of the pieces read that are lost and retransmitted."
+)
+@click.option(
+    "--stall-ms", default=200.0, show_default=True, help="Time that it takes to recover from a loss."
+)
+@click.option("--rate-kbit", default=0.0, help="Kilobits per second in each direction; 0: no limit.")
+@click.option(
+    "--cut-after", default=0, metavar="BYTES", help="Reset a connection after this number of bytes."
+)
 @click.option("--cut-every-s", default=0.0, help="Reset a connection at this age.")
 @click.option("--outage", "outages", multiple=True, metavar="BEGIN+LENGTH", help="In seconds; repeatable.")
 @click.option("--outage-kind", type=click.Choice(["silent", "reset"]), default="silent", show_default=True)
-@click.option("--seed", default=0, help="Of all chance: the same seed, the same link.")
+@click.option("--seed", default=0, help="Seed of all random draws; the same seed reproduces the same link.")
 def link(listen: str, to: str, seed: int, **options: Unpack[ImpairmentOptions]) -> None:
-    """Be a poor link: a proxy on loopback that delays, stalls, narrows and cuts.
+    """Run a proxy on loopback that delays, stalls, rate-limits and resets connections.
 
-    It prints what happens, and takes commands, a word a line: down, up, cut, freeze, quit.
+    It prints events, and reads commands from standard input, one per line: down, up, cut, freeze, quit.
     """
     from puffinpost.address import parse_address
     from puffinpost.cli.link import serve
@@ -57,7 +65,7 @@
 
 
 def _link_profile(options: ImpairmentOptions) -> LinkProfile:
-    """The profile that the options describe. Raises ``ValueError`` for an outage of another form."""
+    """Returns the profile that the options describe. Raises ``ValueError`` for an invalid outage."""
     from puffinpost.emulator.impairment import LinkProfile, OutageKind, parse_outage
 
     return LinkProfile(
--- a/puffinpost/cli/commands/node.py
+++ b/puffinpost/cli/commands/node.py
@@ -10,7 +10,7 @@
 
 @click.command()
 def run() -> None:
-    """Run a node, as without any command. It is configured by GW_CONFIG, GW_EDGE and their like."""
+    """Run a node, as without a command. GW_CONFIG, GW_EDGE and other GW_ variables configure it."""
     from puffinpost.runtime.node_process import main as run_node
 
     sys.exit(run_node())
@@ -19,9 +19,9 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Read FILE as an operator's file (edge.toml) and name each fault with its key.
+    """Check FILE, an operator's file (edge.toml), and print each fault with its key.
 
-    Exits with 0 where there is none, 1 where there is one.
+    Exit with 0 if there is none, else 1.
     """
     from puffinpost.config import ConfigError
     from puffinpost.config.edge import parse, problems
@@ -34,4 +34,4 @@
         click.echo(line, err=True)
     if found:
         sys.exit(1)
-    click.echo(f"{file}: nothing is wrong with it")
+    click.echo(f"{file}: no faults")
--- a/puffinpost/cli/commands/replica.py
+++ b/puffinpost/cli/commands/replica.py
@@ -1,4 +1,4 @@
-"""``puffinpost replica``: replicated state, and where two nodes differ."""
+"""``puffinpost replica``: shows replicated state, and how two nodes differ."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @click.group()
 def replica() -> None:
-    """State that lives at several nodes: what one has of it, and where two differ."""
+    """Show a node's replicated state, or how the replicas of two nodes differ."""
 
 
 @replica.command("show")
-@click.option("--node", default="", envvar="GW_NAME", help="Which node, where the file does not say.")
+@click.option("--node", default="", envvar="GW_NAME", help="Name of the node, if the file does not set it.")
 @click.option("--json", "as_json", is_flag=True)
 @click.argument("about", default="")
 def replica_show(node: str, as_json: bool, about: str) -> None:
-    """Copies and neighbours of the node that GW_EDGE's file is about; ABOUT: a kind, or an origin
-    (node/life), whose rows are shown.
+    """Show replicas and neighbours of the node that the file GW_EDGE configures, or, with ABOUT, the rows of
+    a kind or of an origin (node/incarnation).
     """
     from puffinpost.cli.replica import replica_status, status_text
     from puffinpost.cli.settings import connect
@@ -38,8 +38,8 @@
 @click.argument("one", type=click.Path(path_type=Path, exists=True))
 @click.argument("other", type=click.Path(path_type=Path, exists=True))
 def replica_diff(one: Path, other: Path) -> None:
-    """Where the copies of two nodes differ, each named by its operator's file (edge.toml, in a folder of the
-    node's name where the file does not name it). Exits with 0 where they are equal, else 1.
+    """Show how the replicas of two nodes differ. Each node is given by its operator's file (edge.toml, in a
+    folder with the node's name if the file does not set it). Exit with 0 if they are equal, else 1.
     """
     from puffinpost.cli.replica import diff
 
--- a/puffinpost/cli/commands/settings.py
+++ b/puffinpost/cli/commands/settings.py
@@ -1,4 +1,4 @@
-"""``puffinpost settings``: what all nodes of a cluster agree on."""
+"""``puffinpost settings``: the documents that all nodes of a cluster agree on."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 @click.group()
-@click.option("--node", default="", envvar="GW_NAME", help="Which node, where the file does not say.")
+@click.option("--node", default="", envvar="GW_NAME", help="Name of the node, if the file does not set it.")
 @click.pass_context
 def settings(context: click.Context, node: str) -> None:
-    """What all nodes agree on: asked of the node that GW_EDGE's file is about, on this machine."""
+    """Show and change what all nodes agree on, through the local node that the file GW_EDGE configures."""
     context.obj = node
 
 
@@ -21,7 +21,7 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.pass_obj
 def settings_status(node: str, as_json: bool) -> None:
-    """Versions, leases, and who is behind and why."""
+    """Show versions, the lease, and which nodes are behind and why."""
     from puffinpost.cli.settings import connect, status_text
 
     status = connect(dict(os.environ), node).query("status")
@@ -30,12 +30,12 @@
 
 @settings.command("propose")
 @click.argument("file", type=click.Path(path_type=Path, exists=True))
-@click.option("--why", required=True, help="For the history.")
+@click.option("--why", required=True, help="Reason, stored with the version.")
 @click.option("--doc", default="settings", show_default=True)
-@click.option("--share", default=1.0, help="Of the nodes that act on it first; then all, if it does well.")
+@click.option("--share", default=1.0, help="Share of nodes that act on it first; then all, if it succeeds.")
 @click.pass_obj
 def settings_propose(node: str, file: Path, why: str, doc: str, share: float) -> None:
-    """Propose FILE (TOML or JSON) as the next version, and wait for what becomes of it."""
+    """Propose FILE (TOML or JSON) as the next version, and wait for the outcome."""
     from puffinpost.cli.settings import connect, read_content, report_outcome
 
     report_outcome(connect(dict(os.environ), node).propose(doc, read_content(file), why, share))
@@ -61,7 +61,7 @@
 @click.option("--doc", default="settings", show_default=True)
 @click.pass_obj
 def settings_diff(node: str, one: int, other: int, doc: str) -> None:
-    """What differs between versions ONE and OTHER; without OTHER, the one in force."""
+    """Show how versions ONE and OTHER differ; OTHER defaults to the staged version, else the active one."""
     from puffinpost.cli.settings import connect, difference
 
     click.echo(difference(connect(dict(os.environ), node).query("document", doc), one, other))
@@ -78,11 +78,13 @@
 
 @settings.command("voter")
 @click.argument("name")
-@click.option("--identity", default="", help="Of its folder, as its status says; empty: it votes no more.")
+@click.option(
+    "--identity", default="", help="Identity of its store, as in its status; empty: remove the voter."
+)
 @click.option("--why", required=True)
 @click.pass_obj
 def settings_voter(node: str, name: str, identity: str, why: str) -> None:
-    """Have NAME vote, in the place of its lost folder or as one more, or no more. One change at a time."""
+    """Add or remove the voter NAME, or replace it after it lost its store. One change at a time."""
     from puffinpost.cli.settings import connect
 
     client = connect(dict(os.environ), node)
