--- a/puffinpost/cli/replica.py
+++ b/puffinpost/cli/replica.py
@@ -1,6 +1,6 @@
-"""``puffinpost replica``: shows a node's replicated state, and compares the copies of two nodes.
+"""``puffinpost replica``: shows a node's replicated state, and compares the replicas of two nodes.
 
-The command definitions call it; the nodes are queried with the client of ``puffinpost settings``.
+The command definitions call it; it queries nodes with the client of ``puffinpost settings``.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 from puffinpost.cli.settings import connect
 
-MAX_SHOWN_ROWS = 40  # of each origin that differs
+MAX_SHOWN_ROWS = 40  # for each origin that differs
 
-Row = dict[str, Any]  # as the node writes it
+Row = dict[str, Any]  # as in the node's reply
 Status = dict[str, Any]
 
 
 def replica_status(environ: dict[str, str], name: str) -> Status:
-    """A node's status. Raises ``click.ClickException`` where replication is off there."""
+    """Returns a node's status. Raises ``click.ClickException`` if replication is off at the node."""
     status = connect(environ, name).query("replica")
     if not status:
-        raise click.ClickException("cluster.replica: is off at that node")
+        raise click.ClickException("cluster.replica: replication is off at this node")
     return dict(status)
 
 
 def status_text(status: Status) -> str:
-    """A node's status as text."""
-    taken_over = "settled" if status["settled"] else "has not taken over from the lives before it yet"
-    muted = ", WRITES NO MORE: a later life is there" if status["mute"] else ""
+    """Formats a node's status as text."""
+    takeover = "taken over" if status["settled"] else "has not taken over from earlier incarnations yet"
+    read_only = ", READ-ONLY: a later incarnation exists" if status["mute"] else ""
     return "\n".join(
         [
-            f"{status['node']}, life {status['life']}: {taken_over}{muted}",
+            f"{status['node']}, incarnation {status['life']}: {takeover}{read_only}",
             *_key_lines(status),
-            *(_copy_line(copy) for copy in status["copies"]),
-            *(_neighbour_line(name, each) for name, each in sorted(status["neighbours"].items())),
+            *(_replica_line(replica) for replica in status["copies"]),
+            *(_neighbour_line(name, neighbour) for name, neighbour in sorted(status["neighbours"].items())),
         ]
     )
 
@@ -43,31 +43,35 @@
 def _key_lines(status: Status) -> list[str]:
     lines = []
     for kind, count in sorted(status["places"].items()):
-        contested = f", words differ at {status['contested'][kind]}" if kind in status["contested"] else ""
-        lines.append(f"  {kind}: {count} places{contested}")
+        conflicts = (
+            f", with conflicting rows: {status['contested'][kind]}" if kind in status["contested"] else ""
+        )
+        lines.append(f"  {kind}: {count} keys{conflicts}")
     return lines
 
 
-def _copy_line(copy: dict[str, Any]) -> str:
-    line = f"  {_origin_of(copy)}: {copy['rows']} rows up to {copy['seq']}, sum {copy['check']}"
-    return line + (f", {copy['holes']} damaged" if copy["holes"] else "")
+def _replica_line(replica: dict[str, Any]) -> str:
+    line = (
+        f"  {_origin_of(replica)}: {replica['rows']} rows up to {replica['seq']}, checksum {replica['check']}"
+    )
+    return line + (f", {replica['holes']} damaged" if replica["holes"] else "")
 
 
 def _neighbour_line(name: str, neighbour: dict[str, Any]) -> str:
-    heard_ms = neighbour["heard_ms"]
-    heard = "not heard" if heard_ms is None else f"heard {heard_ms} ms ago"
-    lacks = f", has news of {neighbour['lacks']} origins" if neighbour["lacks"] else ""
-    return f"  neighbour {name}: {heard}{lacks}"
+    age_ms = neighbour["heard_ms"]
+    last_message = "no message yet" if age_ms is None else f"last message {age_ms} ms ago"
+    missing = f", has more rows of {neighbour['lacks']} origins" if neighbour["lacks"] else ""
+    return f"  neighbour {name}: {last_message}{missing}"
 
 
-def _origin_of(copy: dict[str, Any]) -> str:
-    return f"{copy['node']}/{copy['life']}"
+def _origin_of(replica: dict[str, Any]) -> str:
+    return f"{replica['node']}/{replica['life']}"
 
 
 def differing_origins(one: Status, other: Status) -> list[str]:
-    """Origins (``node/incarnation``) of which two nodes have other rows."""
+    """Returns the origins (``node/incarnation``) of which two nodes have different rows."""
     first, second = (
-        {_origin_of(copy): (copy["rows"], copy["check"]) for copy in status["copies"]}
+        {_origin_of(replica): (replica["rows"], replica["check"]) for replica in status["copies"]}
         for status in (one, other)
     )
     return sorted(
@@ -76,22 +80,22 @@
 
 
 def differing_rows(one: list[Row], other: list[Row], names: tuple[str, str]) -> list[str]:
-    """The rows that only one of two nodes has, a line each."""
+    """Returns one line for each row that only one of two nodes has."""
     first, second = ({(row["seq"], row["check"]): row for row in rows} for rows in (one, other))
     return _rows_only_in(names[0], first, second) + _rows_only_in(names[1], second, first)
 
 
-def _rows_only_in(name: str, here: dict[Any, Row], there: dict[Any, Row]) -> list[str]:
+def _rows_only_in(name: str, rows: dict[Any, Row], other_rows: dict[Any, Row]) -> list[str]:
     lines = []
-    for mark, row in sorted(here.items()):
-        if mark not in there:
-            deleted = " (taken back)" if row["taken_back"] else ""
+    for row_id, row in sorted(rows.items()):
+        if row_id not in other_rows:
+            deleted = " (deleted)" if row["taken_back"] else ""
             lines.append(f"  only {name}: {row['seq']} {row['kind']} {row['key']}{deleted}")
     return lines
 
 
 class ComparedNode:
-    """A node that is named by its operator's file."""
+    """One of the two nodes to compare, named by its operator's file."""
 
     def __init__(self, edge: Path) -> None:
         self.environ = {"GW_EDGE": str(edge), "GW_NAME": edge.parent.name}
@@ -99,12 +103,12 @@
         self.name = str(self.status["node"])
 
     def rows(self, origin: str) -> list[Row]:
-        """Its rows of one origin."""
+        """Returns the node's rows of one origin."""
         return list(connect(self.environ, self.environ["GW_NAME"]).query("replica", origin))
 
 
 def diff(one: Path, other: Path) -> int:
-    """Prints where two nodes' copies differ; the exit code, 0 where they are equal."""
+    """Prints how the replicas of two nodes differ. Returns 0 if they are equal, else 1."""
     first, second = ComparedNode(one), ComparedNode(other)
     origins = differing_origins(first.status, second.status)
     for origin in origins:
--- a/puffinpost/cli/settings.py
+++ b/puffinpost/cli/settings.py
@@ -1,7 +1,7 @@
-"""``puffinpost settings``: queries this machine's node about what its cluster agrees on, proposes changes.
+"""``puffinpost settings``: queries the local node about its cluster's documents, and proposes changes.
 
-The command definitions call it, and ``puffinpost replica`` uses its client. It prints results and ends the
-program with the exit code of a failure.
+The command definitions call it, and ``puffinpost replica`` uses its client. It prints results, and exits with
+a non-zero code after a failure.
 """
 
 from __future__ import annotations
@@ -36,33 +36,33 @@
 
 
 class NodeClient:
-    """Queries the node that an operator's file configures. Raises ``ConfigError`` where that cannot be."""
+    """Queries the node that an operator's file configures. Raises ``ConfigError`` if it cannot be queried."""
 
     def __init__(self, environ: dict[str, str], name: str) -> None:
         edge = schema.edge_of(parse(edge_file(environ)))
         if not edge.cluster.id:
-            raise ConfigError("cluster.id", "the file does not turn [cluster] on")
+            raise ConfigError("cluster.id", "must be set to enable [cluster]")
         config = for_node(cluster_config_of(edge.cluster), edge.cluster.name or name)
         if config.folder is None:
-            raise ConfigError("cluster.folder", "the node has none, so nobody can be let in")
+            raise ConfigError("cluster.folder", "must be set: it contains the token of operators")
         self.address = config.listen
         self.cluster_id = config.member_config.cluster
         self.node_name = config.member_config.name
-        self.folder = config.folder  # has the token that lets an operator in
+        self.folder = config.folder  # contains the token with which operators authenticate
 
-    def query(self, what: str, about: str = "") -> Any:
-        """The answer to a query, as plain values."""
-        return self._send(OperatorQuery(what, about))
+    def query(self, kind: str, subject: str = "") -> Any:
+        """Returns the reply to a query, decoded from JSON."""
+        return self._send(OperatorQuery(kind, subject))
 
     def propose(self, document: str, content: Any, reason: str, share: float) -> dict[str, str]:
-        """Proposes a document's content to a share of the nodes; the outcome, once it is decided."""
+        """Proposes a document's content to a share of the nodes. Returns the outcome once it is decided."""
         proposal = self._proposal(document, content, reason, share)
         click.echo(f"{proposal.proposal_id} proposes {document}")
         decision = propose_and_wait(self.address, self.cluster_id, self.folder, proposal, DECISION_TIMEOUT_S)
         return dict(_run(decision))
 
     def change_voter(self, name: str, identity: str, reason: str) -> None:
-        """Proposes a voter, or to remove one, and waits until this node's log has the voters as wanted."""
+        """Proposes a voter, or its removal if ``identity`` is empty; waits for it in this node's log."""
         proposal = self._proposal(VOTERS_DOCUMENT, {name: identity}, reason)
         self._send(OperatorQuery("offer", proposal=proposal))
         deadline = time.monotonic() + DECISION_TIMEOUT_S
@@ -72,8 +72,8 @@
                 click.echo(f"voters: {', '.join(voters)}")
                 return
             time.sleep(VOTER_POLL_INTERVAL_S)
-        wanted = "among" if identity else "out of"
-        click.echo(f"{name} is not {wanted} the voters after {DECISION_TIMEOUT_S:g} s", err=True)
+        expected = "among" if identity else "removed from"
+        click.echo(f"{name} is not {expected} the voters after {DECISION_TIMEOUT_S:g} s", err=True)
         sys.exit(EXIT_FAILED)
 
     def _proposal(self, document: str, content: Any, reason: str, share: float = 1.0) -> Propose:
@@ -84,16 +84,16 @@
         return _run(query_node(self.address, self.cluster_id, self.folder, query))
 
 
-def _run(call: Coroutine[Any, Any, Any]) -> Any:
+def _run(coroutine: Coroutine[Any, Any, Any]) -> Any:
     try:
-        return asyncio.run(call)
+        return asyncio.run(coroutine)
     except OperatorQueryError as problem:
         click.echo(str(problem), err=True)
         sys.exit(EXIT_FAILED)
 
 
 def connect(environ: dict[str, str], name: str) -> NodeClient:
-    """A client of this machine's node; ends the program where a key of its configuration is wrong."""
+    """Returns a client of the node on this machine. Exits with 2 if its configuration is invalid."""
     try:
         return NodeClient(environ, name)
     except ConfigError as problem:
@@ -102,7 +102,7 @@
 
 
 def read_content(path: Path) -> Any:
-    """The content of a proposal's file, TOML or JSON. Raises ``click.UsageError``."""
+    """Returns the content of a proposal's file, TOML or JSON. Raises ``click.UsageError``."""
     try:
         text = path.read_text()
         return tomllib.loads(text) if path.suffix == ".toml" else json.loads(text)
@@ -111,7 +111,7 @@
 
 
 def report_outcome(outcome: dict[str, str]) -> None:
-    """Prints the outcome of a proposal; ends the program with 1 where it was not accepted."""
+    """Prints the outcome of a proposal. Exits with 1 if it was not accepted."""
     problem = outcome.get("problem", "")
     click.echo(outcome["outcome"] + (f": {problem}" if problem else ""))
     if outcome["outcome"] not in ACCEPTED_OUTCOMES:
@@ -119,15 +119,15 @@
 
 
 def status_text(status: dict[str, Any]) -> str:
-    """A node's status as text."""
+    """Formats a node's status as text."""
     lines = [
-        f"{status['node']} in {status['cluster']}: {status['role']}, led by {status['leader'] or 'nobody'} "
-        f"in term {status['term']}",
-        f"lease {status['lease_ms']} ms, {'sure' if status['sure'] else 'NOT SURE of being current'}",
+        f"{status['node']} in {status['cluster']}: {status['role']}, leader: {status['leader'] or 'none'}, "
+        f"term {status['term']}",
+        f"lease {status['lease_ms']} ms, {'current' if status['sure'] else 'MAY BE OUT OF DATE'}",
     ]
     lines += [_document_line(name, document) for name, document in status["documents"].items()]
     if status["leader"] and status["leader"] != status["node"]:
-        lines.append(f"of the others only those that follow this node; {status['leader']} knows of all")
+        lines.append(f"only this node and its followers are included; {status['leader']} reports all nodes")
     return "\n".join([*lines, *_fleet_lines(status["fleet"])])
 
 
@@ -145,24 +145,30 @@
     versions = ", ".join(f"{count} at {version}" for version, count in sorted(fleet["versions"].items()))
     return [
         f"{fleet['nodes']} nodes heard: {versions}",
-        *(f"  {node['node']}: {node['has']}, heard {node['heard_ms']} ms ago" for node in fleet["known"]),
+        *(
+            f"  {node['node']}: {node['has']}, last report {node['heard_ms']} ms ago"
+            for node in fleet["known"]
+        ),
         *(f"  {node} cannot act on {proposal}: {reason}" for proposal, node, reason in fleet["refused"]),
     ]
 
 
 def version_of(document: dict[str, Any], number: int) -> dict[str, Any]:
-    """A stored version by its number; 0: the one in force. Raises ``click.UsageError``."""
+    """Returns a stored version by its number; 0: the staged one, else the active one.
+
+    Raises ``click.UsageError`` if it does not exist.
+    """
     stored = (*document.get("past", ()), document.get("active"), document.get("staged"))
     versions = [version for version in stored if version]
     for version in reversed(versions):
         if version["number"] == number or not number:
             return dict(version)
     numbers = ", ".join(str(version["number"]) for version in versions) or "none"
-    raise click.UsageError(f"there is no version {number}; kept are {numbers}")
+    raise click.UsageError(f"there is no version {number}; stored versions: {numbers}")
 
 
 def difference(document: dict[str, Any], one: int, other: int) -> str:
-    """The differences between two versions, as a unified diff."""
+    """Returns the differences between two versions as a unified diff."""
     before, after = (_content_lines(document, number) for number in (one, other))
     return "\n".join(difflib.unified_diff(before, after, str(one), str(other), lineterm="", n=1))
 
