--- a/puffinpost/cli/__init__.py
+++ b/puffinpost/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. A node that runs without a sub-command imports nothing of this."""
+"""The command line. A node that runs without a subcommand does not import this package."""
--- a/puffinpost/cli/link.py
+++ b/puffinpost/cli/link.py
@@ -1,4 +1,4 @@
-"""``puffinpost link``: an impaired link, which takes commands on standard input and prints its events."""
+"""``puffinpost link``: an impaired link that reads commands from standard input and prints its events."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def serve(listen: Address, target: Address, profile: LinkProfile, seed: int) -> None:
-    """Runs until ``quit`` or Ctrl-C. The end of standard input alone does not end it."""
+    """Runs until the command ``quit`` or Ctrl-C. The end of standard input does not stop it."""
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_serve(listen, target, profile, seed))
 
@@ -36,10 +36,10 @@
         line = await loop.run_in_executor(None, sys.stdin.readline)
         if not line:
             await asyncio.Event().wait()
-        word = line.strip()
-        if word == "quit":
+        command_name = line.strip()
+        if command_name == "quit":
             return
-        command = commands.get(word)
+        command = commands.get(command_name)
         if command is None:
             print("unknown", 0, flush=True)
         else:
--- a/puffinpost/cli/local_cluster.py
+++ b/puffinpost/cli/local_cluster.py
@@ -12,11 +12,11 @@
 from puffinpost.cli.settings import status_text
 from puffinpost.emulator.mesh.process_cluster import ProcessCluster
 
-VOTER_COUNTS = (5, 3, 1)  # the largest that the cluster has nodes for
+VOTER_COUNTS = (5, 3, 1)  # the largest that does not exceed the number of nodes is used
 REQUESTS_PER_S = 2.0
 
 
-async def _play(nodes: int, rounds: int, pause_s: float) -> None:
+async def _run_rounds(nodes: int, rounds: int, pause_s: float) -> None:
     with tempfile.TemporaryDirectory(prefix="puffinpost-try-") as folder:
         voters = next(count for count in VOTER_COUNTS if count <= nodes)
         cluster = ProcessCluster(Path(folder), nodes, voters)
@@ -24,7 +24,7 @@
             await cluster.start(per_s=REQUESTS_PER_S)
             first = cluster.nodes[cluster.names[0]]
             click.echo(
-                f"{nodes} nodes, {', '.join(cluster.voters)} vote. Another shell may ask and propose:\n"
+                f"{nodes} nodes, {', '.join(cluster.voters)} vote. To query them, run in another shell:\n"
                 f"  GW_EDGE={first.folder}/edge.toml GW_NAME={first.name} puffinpost settings status"
             )
             for number in itertools.count():
@@ -38,8 +38,8 @@
 
 
 def run(nodes: int, rounds: int, pause_s: float) -> None:
-    """Prints the leader's status so many times, every ``pause_s``; until Ctrl-C where ``rounds`` is 0."""
+    """Prints the leader's status ``rounds`` times, or until Ctrl-C if it is 0, every ``pause_s``."""
     try:
-        asyncio.run(_play(nodes, rounds, pause_s))
+        asyncio.run(_run_rounds(nodes, rounds, pause_s))
     except KeyboardInterrupt:
-        click.echo("ended")
+        click.echo("stopped")
--- a/puffinpost/cli/main.py
+++ b/puffinpost/cli/main.py
@@ -1,7 +1,7 @@
-"""The command line: a group of sub-commands, each defined in ``cli.commands``.
+"""The command line: a group of subcommands, each defined in ``cli.commands``.
 
-Without a sub-command the program is a node and does not import this. A command imports what it runs when it
-is called, so that help and short commands stay quick.
+Without a subcommand the program runs a node and does not import this module. A command imports its
+implementation when it is called, so that help and short commands start quickly.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def puffinpost() -> None:
-    """A node that carries sessions between devices and transcribers. Without a command, it runs."""
+    """Relay sessions between devices and endpoints. Without a command, run a node."""
 
 
 for command in (run, check, link, try_, mesh, settings, replica):
@@ -26,6 +26,6 @@
 
 
 def main() -> int:
-    """Runs what the arguments name; the exit code."""
+    """Runs the command that the arguments name; returns the exit code."""
     puffinpost(prog_name="puffinpost")
     return 0
