--- a/puffinpost/protocol/xmpp/__init__.py
+++ b/puffinpost/protocol/xmpp/__init__.py
@@ -1,6 +1,6 @@
 """XMPP streams (RFC 6120): parser, stanzas, and the negotiation at both ends.
 
-Everything here is fed bytes and knows no socket.
+All code here works on bytes and does no I/O.
 """
 
 from puffinpost.protocol.xmpp.client_stream import (
--- a/puffinpost/protocol/xmpp/client_stream.py
+++ b/puffinpost/protocol/xmpp/client_stream.py
@@ -1,7 +1,7 @@
-"""The initiating end of an XMPP stream to a transcriber: STARTTLS, SASL and resource binding.
+"""The initiating end of an XMPP stream to an endpoint: STARTTLS, SASL and resource binding.
 
-The XMPP front end feeds it the transcriber's bytes. It knows no socket and no session: stanzas go to its
-handler once a resource is bound.
+The XMPP frontend passes it the endpoint's bytes. It does no I/O and has no knowledge of sessions: stanzas go
+to its handler once a resource is bound.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientOptions:
-    """How the node connects to transcribers. ``tls``: STARTTLS is required before anything else."""
+    """How the node connects to endpoints. ``tls``: STARTTLS is required before any other step."""
 
     domain: str
     mechanism: str = "ANONYMOUS"
@@ -31,7 +31,7 @@
 
 
 class ClientStream(NegotiatedStream):
-    """The initiating end of a stream to a transcriber."""
+    """The initiating end of a stream to an endpoint."""
 
     def __init__(self, handler: StreamHandler, options: ClientOptions) -> None:
         super().__init__(handler, options.max_stanza_bytes)
@@ -94,7 +94,7 @@
 
     def _authenticate(self, features: Element) -> None:
         offered = features.child(SASL, "mechanisms")
-        names = [it.text.strip() for it in offered.children] if offered is not None else []
+        names = [child.text.strip() for child in offered.children] if offered is not None else []
         mechanism = self.options.mechanism
         if mechanism not in names or (mechanism == "PLAIN" and not self.secure):
             self.fail("policy-violation", f"{mechanism} is not to be had here")
@@ -102,7 +102,7 @@
             self._send_sasl("auth")
 
     def _send_sasl(self, name: str) -> None:
-        """Sends the mechanism's only message, in an ``auth`` or in a ``response`` element."""
+        """Sends the mechanism's only message, in an ``auth`` or a ``response`` element."""
         options = self.options
         message = f"\0{options.username}\0{options.password}" if options.mechanism == "PLAIN" else ""
         encoded = base64.b64encode(message.encode()).decode() or EMPTY_RESPONSE
--- a/puffinpost/protocol/xmpp/elements.py
+++ b/puffinpost/protocol/xmpp/elements.py
@@ -1,4 +1,4 @@
-"""XML elements as values, and the patterns that find tags and attributes in their bytes."""
+"""Parsed XML elements, and the patterns that match tags and attributes in raw XML."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def escape(text: str) -> str:
-    """Text escaped for the content of an element and for quotes of either kind."""
+    """Escapes text for the content of an element or for an attribute value in single or double quotes."""
     return text.translate(_ESCAPED)
 
 
 @dataclass(slots=True)
 class Element:
-    """One element: its namespace and name, attributes, children and text."""
+    """An element: its namespace, name, attributes, children and text."""
 
     namespace: str
     name: str
@@ -28,5 +28,7 @@
     text: str = ""
 
     def child(self, namespace: str, name: str) -> Element | None:
-        """The first child of that name."""
-        return next((it for it in self.children if (it.namespace, it.name) == (namespace, name)), None)
+        """Returns the first child with this namespace and name."""
+        return next(
+            (each for each in self.children if (each.namespace, each.name) == (namespace, name)), None
+        )
--- a/puffinpost/protocol/xmpp/negotiation.py
+++ b/puffinpost/protocol/xmpp/negotiation.py
@@ -1,7 +1,7 @@
-"""What both ends of an XMPP stream share: feeding the parser, restarts, errors and the closing tag.
+"""The base class of both ends of an XMPP stream: parsing, restarts, errors and the closing tag.
 
-``ServerStream`` and ``ClientStream`` derive from ``NegotiatedStream``. It knows no socket; output and events
-go to a ``StreamHandler``.
+``ServerStream`` and ``ClientStream`` derive from ``NegotiatedStream``. It does no I/O; output and events go
+to a ``StreamHandler``.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
         """Writes bytes to the peer."""
 
     def stream_secure(self) -> None:
-        """Starts TLS once what was written is sent, then calls ``on_tls_established``."""
+        """Starts TLS once all written bytes are sent, then calls ``on_tls_established``."""
 
     def stream_ready(self) -> None:
-        """A resource is bound: stanzas may be exchanged."""
+        """A resource is bound, so stanzas may be exchanged."""
 
     def stream_stanza(self, stanza: Stanza) -> None:
-        """A stanza was received, after ``stream_ready``."""
+        """A stanza was received after ``stream_ready``."""
 
     def stream_managed(self, element: Element) -> None:
         """An element of stream management (XEP-0198) was received in a state that allows it."""
 
     def stream_over(self, clean: bool) -> None:
-        """The stream has ended, and its closing tag is written; ``clean`` means without an error."""
+        """The stream has ended and its closing tag is written; ``clean`` means that no error occurred."""
 
 
 class NegotiatedStream:
-    """One end of a stream, which restarts after STARTTLS and SASL (RFC 6120, 4.3.3)."""
+    """One end of a stream; the stream restarts after STARTTLS and after SASL (RFC 6120, 4.3.3)."""
 
     def __init__(self, handler: StreamHandler, max_stanza_bytes: int) -> None:
         self.handler = handler
         self.max_stanza_bytes = max_stanza_bytes
         self.parser = StreamParser(max_stanza_bytes)
         self.secure = False
-        self.upgrading = False  # to TLS: cleartext received from now on is dropped
+        self.upgrading = False  # TLS is being started; cleartext received in this state is dropped
         self.ended = False
-        self.failure = ""  # the condition and text of the error that ended the stream
+        self.failure = ""  # condition and text of the error that ended the stream
         self.bound_jid = ""
         self.prefixes: Mapping[str, str] = {}
         self.peer_id = ""
@@ -63,7 +63,7 @@
             data = self._feed_parser(self.parser, data)
 
     def _feed_parser(self, parser: StreamParser, data: bytes) -> bytes:
-        """Handles events up to a restart; returns the bytes behind it, for the new parser."""
+        """Handles events up to a restart; returns the bytes after it, for the new parser."""
         for event in parser.feed(data):
             match event:
                 case StreamOpened():
--- a/puffinpost/protocol/xmpp/sasl.py
+++ b/puffinpost/protocol/xmpp/sasl.py
@@ -1,7 +1,7 @@
 """The receiving end of SASL on an XMPP stream (RFC 6120, 6): PLAIN, EXTERNAL, ANONYMOUS and SCRAM.
 
-``ServerStream`` calls it with the client's elements and writes what it returns. It ends no stream and counts
-no attempts.
+``ServerStream`` passes it the client's elements and writes the results. Ending the stream and counting failed
+attempts are left to ``ServerStream``.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """What a stream offers to clients.
+    """The features that a stream offers to clients.
 
-    ``channel_binding`` is the certificate's channel binding data (RFC 5929, 4.1); ``verifiers`` are set where
-    a SCRAM mechanism is offered.
+    ``channel_binding`` is the certificate's channel binding data (RFC 5929, 4.1); ``verifiers`` is set if a
+    SCRAM mechanism is offered.
     """
 
     domain: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaslChallenge:
-    """The client is to send a response to this message."""
+    """A message to which the client must respond."""
 
     message: str = ""
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaslSuccess:
-    """The client has proven to be ``user``; ``message`` is the mechanism's additional data."""
+    """The client is authenticated as ``user``; ``message`` is the mechanism's additional data."""
 
     user: str
     message: str = ""
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaslFailure:
-    """The attempt failed; ``condition`` is one of RFC 6120, 6.5."""
+    """The attempt failed; ``condition`` is an error condition of RFC 6120, 6.5."""
 
     condition: str
 
@@ -85,16 +85,16 @@
         self.options = options
         self.secure = False
         self.certificate_name = ""
-        self._pending_mechanism = ""  # waits for the client's response
-        self._scram: ScramExchange | None = None  # its first message was answered
+        self._pending_mechanism = ""  # the mechanism whose challenge the client has not answered
+        self._scram: ScramExchange | None = None  # set once the client's first message was answered
 
     @property
     def awaits_response(self) -> bool:
-        """Whether a challenge was sent and not answered."""
+        """Whether a challenge was sent and has not been answered."""
         return bool(self._pending_mechanism)
 
     def available_mechanisms(self) -> list[str]:
-        """The configured mechanisms that the connection allows now, in the configured order."""
+        """Returns the configured mechanisms that the connection currently allows, in the configured order."""
         available = {
             "PLAIN": self.secure,
             "EXTERNAL": bool(self.certificate_name),
@@ -151,16 +151,17 @@
             return SaslFailure("malformed-request")
         authzid, user, password = fields
         expected = self.options.users.get(user, "")
-        # Compared for an unknown user too, so that the time taken does not reveal which names exist.
+        # The passwords are compared for an unknown user too, so that the response time does not reveal which
+        # user names exist.
         matches = hmac.compare_digest(expected.encode(), password.encode())
         if not (expected and matches):
             return SaslFailure("not-authorized")
-        if not self._may_act_as(user, authzid):
+        if not self._is_authorized_as(user, authzid):
             return SaslFailure("invalid-authzid")
         return SaslSuccess(user)
 
     def _authenticate_scram(self, mechanism: str, message: str) -> SaslResult:
-        # Imported where it is used: a node without SCRAM does not load its library.
+        # Imported here so that a node without SCRAM does not load the SCRAM library.
         from puffinpost.protocol.scram import ScramError, ScramExchange
 
         scram, self._scram = self._scram, None
@@ -173,20 +174,21 @@
             signature = scram.handle_final(message)
         except ScramError as error:
             return SaslFailure(error.condition)
-        if not self._may_act_as(scram.user, scram.authzid):
+        if not self._is_authorized_as(scram.user, scram.authzid):
             return SaslFailure("invalid-authzid")
         return SaslSuccess(scram.user, signature)
 
     def _verifiers(self) -> VerifierStore:
-        assert self.options.verifiers is not None  # SCRAM is offered with them only
+        assert self.options.verifiers is not None  # SCRAM is only offered if they are set
         return self.options.verifiers
 
     def _channel_binding(self) -> bytes:
-        # Given for the mechanism without -PLUS too: a client that was shown a list without -PLUS is detected.
+        # Also used for the mechanism without -PLUS: this detects a downgrade, in which an attacker has
+        # removed -PLUS from the list of mechanisms that the client received.
         offers_binding = "SCRAM-SHA-256-PLUS" in self.available_mechanisms()
         return self.options.channel_binding if offers_binding else b""
 
-    def _may_act_as(self, user: str, authzid: str) -> bool:
+    def _is_authorized_as(self, user: str, authzid: str) -> bool:
         return authzid in ("", user, f"{user}@{self.options.domain}")
 
 
--- a/puffinpost/protocol/xmpp/server_stream.py
+++ b/puffinpost/protocol/xmpp/server_stream.py
@@ -1,7 +1,7 @@
 """The receiving end of a client's XMPP stream: header, features, STARTTLS, SASL and resource binding.
 
-The XMPP front end feeds it the client's bytes. It knows no socket and no session: stanzas go to its handler
-once a resource is bound.
+The XMPP frontend passes it the client's bytes. It does no I/O and has no knowledge of sessions: stanzas go to
+its handler once a resource is bound.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class ServerStream(NegotiatedStream):
-    """The receiving end of a client's stream. ``user`` is the local part of the authenticated client."""
+    """The receiving end of a client's stream. ``user`` is the local part of the authenticated JID."""
 
     def __init__(self, handler: StreamHandler, options: ServerOptions) -> None:
         super().__init__(handler, options.max_stanza_bytes)
@@ -50,24 +50,24 @@
         self._failed_attempts = 0
 
     def on_tls_established(self, certificate_name: str = "") -> None:
-        """Restarts the stream over TLS; ``certificate_name`` is that of the client's certificate."""
+        """Restarts the stream over TLS; ``certificate_name`` is the name in the client's certificate."""
         self.secure, self.upgrading = True, False
         self._sasl.secure, self._sasl.certificate_name = True, certificate_name
         self.header_sent = False
         self._restart()
 
     def on_resumed(self, jid: str) -> None:
-        """The stream continues an earlier one, which had bound this address (XEP-0198, 5)."""
+        """Continues an earlier stream, which had bound this JID (XEP-0198, 5)."""
         self.bound_jid = jid
 
     def fail(self, condition: str, text: str = "") -> None:
-        """Ends the stream with an error, which stands inside a stream, so that one is opened first."""
+        """Ends the stream with an error; opens it first if needed, as an error is sent inside a stream."""
         if not self.header_sent and not self.ended:
             self._send_header()
         super().fail(condition, text)
 
     def fail_handled_count(self, handled: int, sent: int, text: str) -> None:
-        """Ends the stream of a client that acknowledges more than was sent (XEP-0198, 4)."""
+        """Ends the stream of a client that acknowledges more stanzas than were sent (XEP-0198, 4)."""
         if not self.ended:
             self.handler.stream_write(handled_count_too_high(handled, sent, text))
             self._end(clean=False)
@@ -83,7 +83,7 @@
         elif not version.isdigit() or int(version) < 1:
             self.fail("unsupported-version", "version 1.0 is spoken here")
         else:
-            # After a restart in mid-session the resource remains bound.
+            # If the stream is restarted during a session, the resource remains bound.
             self.handler.stream_write(self._features())
 
     def _send_header(self) -> None:
@@ -130,14 +130,14 @@
             self._on_management_element(element)
         elif element.namespace != CLIENT or element.name not in ("iq", "message", "presence"):
             self.fail("unsupported-stanza-type", element.name)
-        elif not self._is_own_address(element.attributes.get("from", self.bound_jid)):
+        elif not self._is_bound_address(element.attributes.get("from", self.bound_jid)):
             self.fail("invalid-from", "from is not the address that is bound here")
         elif self.bound_jid and element.child(BIND, "bind") is None:
             self.handler.stream_stanza(event)
         else:
             self._bind(element)
 
-    def _is_own_address(self, address: str) -> bool:
+    def _is_bound_address(self, address: str) -> bool:
         return address in (self.bound_jid, self.bound_jid.partition("/")[0])
 
     def _negotiate(self, element: Element) -> None:
@@ -175,7 +175,7 @@
                 self.fail("policy-violation", "too many attempts")
 
     def _on_management_element(self, element: Element) -> None:
-        """Passes on what XEP-0198 allows: resumption before a resource is bound, the rest after it."""
+        """Accepts elements as XEP-0198 allows: ``resume`` before a resource is bound, the others after it."""
         if element.name not in ("enable", "resume", "r", "a"):
             self.fail("unsupported-stanza-type", element.name)
         elif (element.name == "resume") == bool(self.bound_jid):
@@ -198,7 +198,7 @@
         is_rebind = bool(self.bound_jid)
         if not is_rebind:
             self.bound_jid = f"{self.user}@{self.options.domain}/{resource or secrets.token_hex(6)}"
-        answer = f"<bind xmlns='{BIND}'><jid>{escape(self.bound_jid)}</jid></bind>".encode()
-        self.handler.stream_write(stanza("iq", {"type": "result", "id": iq_id}, answer))
+        result = f"<bind xmlns='{BIND}'><jid>{escape(self.bound_jid)}</jid></bind>".encode()
+        self.handler.stream_write(stanza("iq", {"type": "result", "id": iq_id}, result))
         if not is_rebind:
             self.handler.stream_ready()
--- a/puffinpost/protocol/xmpp/stanzas.py
+++ b/puffinpost/protocol/xmpp/stanzas.py
@@ -1,6 +1,6 @@
-"""Encodes stream tags, errors and stanzas, and edits the first tag of a stanza that is forwarded.
+"""Encodes stream tags, errors and stanzas, and edits the start tag of a forwarded stanza.
 
-A forwarded stanza keeps the bytes that it was received as, but for its addresses and namespace declarations.
+A stanza is forwarded with its original bytes, except for its addresses and namespace declarations.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def stream_header(attributes: Mapping[str, str]) -> bytes:
-    """The opening tag of a stream; attributes without a value are omitted."""
+    """Encodes the opening tag of a stream; attributes without a value are omitted."""
     return (
         f"<?xml version='1.0'?><stream:stream xmlns='{CLIENT}' xmlns:stream='{STREAM}'"
         f"{_attributes(attributes)}>"
@@ -35,7 +35,7 @@
 
 
 def stream_error(condition: str, text: str = "") -> bytes:
-    """A stream error and the closing tag of the stream."""
+    """Encodes a stream error and the closing tag of the stream."""
     text_element = f"<text xmlns='{STREAM_ERRORS}' xml:lang='en'>{escape(text)}</text>" if text else ""
     return (
         f"<stream:error><{condition} xmlns='{STREAM_ERRORS}'/>{text_element}</stream:error></stream:stream>"
@@ -43,22 +43,22 @@
 
 
 def stanza(name: str, attributes: Mapping[str, str], inner: bytes = b"") -> bytes:
-    """A stanza; attributes without a value are omitted."""
+    """Encodes a stanza; attributes without a value are omitted."""
     return f"<{name}{_attributes(attributes)}>".encode() + inner + f"</{name}>".encode()
 
 
 def stanza_error(error_type: str, condition: str, extra: str = "") -> bytes:
-    """The error child of a stanza."""
+    """Encodes the ``error`` child of a stanza."""
     return f"<error type='{error_type}'><{condition} xmlns='{STANZA_ERRORS}'/>{extra}</error>".encode()
 
 
 def management_ack(count: int) -> bytes:
-    """Acknowledges the stanzas handled so far (XEP-0198, 4)."""
+    """Encodes an acknowledgement of the stanzas handled so far (XEP-0198, 4)."""
     return f"<a xmlns='{STREAM_MANAGEMENT}' h='{count}'/>".encode()
 
 
 def management_failed(condition: str, handled: int | None = None) -> bytes:
-    """The failure to enable stream management or to resume a stream (XEP-0198, 3 and 5)."""
+    """Encodes a failure to enable stream management or to resume a stream (XEP-0198, 3 and 5)."""
     count = f" h='{handled}'" if handled is not None else ""
     return (
         f"<failed xmlns='{STREAM_MANAGEMENT}'{count}><{condition} xmlns='{STANZA_ERRORS}'/></failed>".encode()
@@ -66,7 +66,7 @@
 
 
 def handled_count_too_high(handled: int, sent: int, text: str) -> bytes:
-    """The stream error for an acknowledgement of more stanzas than were sent, and the closing tag."""
+    """Encodes the stream error for an acknowledgement of more stanzas than were sent, and the closing tag."""
     return (
         f"<stream:error><undefined-condition xmlns='{STREAM_ERRORS}'/>"
         f"<handled-count-too-high xmlns='{STREAM_MANAGEMENT}' h='{handled}' send-count='{sent}'/>"
@@ -75,7 +75,7 @@
 
 
 def handled_count(element: Element) -> int | None:
-    """The ``h`` of an element of stream management; None where it is not an unsigned 32-bit number."""
+    """Returns a stream management element's ``h``, or None if it is not an unsigned 32-bit number."""
     raw = element.attributes.get("h", "")
     if not (raw.isascii() and raw.isdigit() and len(raw) <= MAX_COUNT_DIGITS):
         return None
@@ -84,29 +84,32 @@
 
 
 class StanzaErrorCondition(NamedTuple):
-    """The type and the condition of a stanza error (RFC 6120, 8.3); empty where there is none."""
+    """The type and condition of a stanza error (RFC 6120, 8.3); both are empty if there is no error."""
 
     error_type: str
     condition: str
 
 
 def error_condition(element: Element) -> StanzaErrorCondition:
-    """The error that a stanza carries."""
+    """Returns the error in a stanza."""
     error = element.child(CLIENT, "error")
     if error is None:
         return StanzaErrorCondition("", "")
-    conditions = [it.name for it in error.children if it.namespace == STANZA_ERRORS and it.name != "text"]
+    conditions = [
+        child.name for child in error.children if child.namespace == STANZA_ERRORS and child.name != "text"
+    ]
     condition = conditions[0] if conditions else "undefined-condition"
     return StanzaErrorCondition(error.attributes.get("type", ""), condition)
 
 
 def readdress(raw: bytes, prefixes: Mapping[str, str], addresses: Mapping[str, str]) -> bytes:
-    """A stanza's bytes with other addresses.
+    """Replaces the ``to`` and ``from`` addresses in a stanza's bytes.
 
-    ``prefixes`` are those that its stream declares; one that the stanza uses is declared on the stanza.
+    ``prefixes`` are the namespace prefixes that its stream declares; those that the stanza uses are declared
+    on the stanza.
     """
     match = START_TAG.match(raw)
-    assert match is not None  # the parser matched this tag
+    assert match is not None  # the parser has matched this tag
     tag = match.group()
     name = TAG_NAME.match(tag)
     assert name is not None
@@ -122,7 +125,7 @@
 
 
 def replace_attribute(raw: bytes, attribute: bytes, value: str) -> bytes:
-    """A stanza's bytes with another value for an attribute of its first tag, if it has that."""
+    """Replaces the value of an attribute of a stanza's start tag, if the tag has that attribute."""
     match = START_TAG.match(raw)
     assert match is not None
     for found in ATTRIBUTE.finditer(raw, 0, match.end()):
@@ -132,7 +135,7 @@
 
 
 def inner_xml(raw: bytes) -> bytes:
-    """The bytes between a stanza's first tag and its last; empty for an empty element."""
+    """Returns the bytes between a stanza's start tag and its end tag; empty for an empty element."""
     match = START_TAG.match(raw)
     assert match is not None
     return b"" if match.group().endswith(b"/>") else raw[match.end() : raw.rindex(b"</")]
--- a/puffinpost/protocol/xmpp/stream_parser.py
+++ b/puffinpost/protocol/xmpp/stream_parser.py
@@ -1,7 +1,7 @@
 """Parses one direction of an XMPP stream (RFC 6120) into events.
 
-The parser is fed bytes in pieces of any size and knows no socket; expat only tokenizes the XML. A stanza
-keeps the bytes that it was received as, so that it can be forwarded unchanged but for its addresses.
+The parser accepts bytes in pieces of any size and does no I/O; expat only tokenizes the XML. A stanza keeps
+its original bytes, so that it can be forwarded with only its addresses changed.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 class StreamOpened:
     """The stream's header, at the start or at a restart.
 
-    ``content_namespace`` is the default namespace, ``prefixes`` the other declared ones beside the stream's
-    own, ``end`` the offset behind the header in all bytes fed.
+    ``content_namespace`` is the default namespace. ``prefixes`` are the other declared namespaces, except for
+    that of the stream itself. ``end`` is the offset after the header in all bytes fed.
     """
 
     attributes: Mapping[str, str]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stanza:
-    """A complete child of the stream with its bytes; ``end`` is the offset behind it in all bytes fed."""
+    """A complete child of the stream with its bytes; ``end`` is the offset after it in all bytes fed."""
 
     element: Element
     raw: bytes
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamClosed:
-    """The stream's closing tag; ``end`` is the offset behind it in all bytes fed."""
+    """The stream's closing tag; ``end`` is the offset after it in all bytes fed."""
 
     end: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamFault:
-    """Invalid input; ``condition`` is the stream error to answer with (RFC 6120, 4.9.3)."""
+    """Invalid input; ``condition`` is the stream error to respond with (RFC 6120, 4.9.3)."""
 
     condition: str
     text: str
@@ -79,8 +79,8 @@
 class StreamParser:
     """A state machine for one direction of a stream.
 
-    Events hold the offset of their end, so that the bytes behind one can be given to another parser. A second
-    stream header is a restart: the parser begins again with it.
+    Each event has the offset of its end, so that the bytes after it can be passed to another parser. A second
+    stream header is a restart: the parser resets its state and parses from there.
     """
 
     def __init__(self, max_stanza_bytes: int = 65536) -> None:
@@ -93,10 +93,10 @@
         self._stream_start = offset
         self._open_elements: list[Element] = []
         self._ended = False
-        self._start_tag = _StartTag(offset, is_empty_element=False)  # the latest at a depth below 2
+        self._start_tag = _StartTag(offset, is_empty_element=False)  # the latest one at a depth below 2
         self._restart_at: int | None = None  # the offset of a second stream header
         self._buffer_start = offset  # the end of the last event
-        self._buffer = bytearray()  # the bytes from there on
+        self._buffer = bytearray()  # the bytes since the last event
         self._prefixes: dict[str, str] = {}
         self._events: list[StreamEvent] = []
         self._expat = self._create_expat()
@@ -118,7 +118,7 @@
         return parser
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events completed by ``data``. None follow a ``StreamClosed`` or a ``StreamFault``."""
+        """Returns the events completed by ``data``; none follows a ``StreamClosed`` or a ``StreamFault``."""
         events: list[StreamEvent] = []
         self._last_chunk = data
         self._bytes_fed += len(data)
@@ -136,7 +136,7 @@
         return events
 
     def bytes_after(self, event: StreamOpened | Stanza) -> bytes:
-        """The part of the last ``data`` fed that follows one of its events."""
+        """Returns the bytes of the last ``data`` passed to ``feed`` that follow one of its events."""
         return self._last_chunk[max(0, len(self._last_chunk) - (self._bytes_fed - event.end)) :]
 
     def _parse(self, data: bytes) -> None:
@@ -151,13 +151,13 @@
                 self._fault("not-well-formed", f"XML: {error}")
 
     def _restart(self, offset: int) -> bytes:
-        """Begins again at a second stream header; returns the bytes from there on, which are to be parsed."""
+        """Resets the state at a second stream header; returns the bytes from there on, still to be parsed."""
         rest = bytes(self._buffer[offset - self._buffer_start :])
         self._begin(offset)
         return rest
 
     def _drop_whitespace(self) -> None:
-        """Drops whitespace between stanzas, which keeps the connection alive (RFC 6120, 4.6.1)."""
+        """Drops whitespace between stanzas, which is sent to keep the connection alive (RFC 6120, 4.6.1)."""
         if len(self._open_elements) == 1 and self._buffer.isspace():
             self._skip(len(self._buffer))
 
@@ -203,7 +203,7 @@
             raise _StreamFaultError("invalid-namespace", "the first element is not a stream")
         prefixes = {key: uri for key, uri in self._prefixes.items() if key and uri not in (STREAM, CLIENT)}
         end = self._start_tag.end
-        self._cut(end)
+        self._consume(end)
         self._events.append(StreamOpened(element.attributes, self._prefixes.get("", ""), prefixes, end))
 
     def _on_end(self, _tag: str) -> None:
@@ -218,10 +218,10 @@
         else:
             end = self._find_end_tag_end()
         if self._open_elements:
-            self._events.append(Stanza(element, self._cut(end), end))
+            self._events.append(Stanza(element, self._consume(end), end))
             return
         self._ended = True
-        self._cut(end)
+        self._consume(end)
         self._events.append(StreamClosed(end))
 
     def _on_text(self, text: str) -> None:
@@ -233,25 +233,26 @@
             raise _StreamFaultError("bad-format", "text between stanzas")
 
     def _tag_offset(self) -> int:
-        """The offset in the buffer of the tag that expat reports."""
+        """Returns the offset in the buffer of the tag that expat reports."""
         return int(self._stream_start + self._expat.CurrentByteIndex - self._buffer_start)
 
     def _find_start_tag(self) -> _StartTag:
-        """The end of the start tag that expat reports; a '>' within quotes does not end it."""
+        """Finds the end of the start tag that expat reports; a '>' within quotes does not end it."""
         match = START_TAG.match(self._buffer, self._tag_offset())
         if match is None:
             raise _StreamFaultError("not-well-formed", "a tag that cannot be read")
         return _StartTag(self._buffer_start + match.end(), match.group().endswith(b"/>"))
 
     def _find_end_tag_end(self) -> int:
-        # Not for an empty element: expat reports an offset behind its tag, where anything may follow.
+        # Must not be called for an empty element: for its end, expat reports an offset after its tag, where
+        # any bytes may follow.
         return self._buffer_start + self._buffer.index(b">", self._tag_offset()) + 1
 
     def _skip(self, size: int) -> None:
         del self._buffer[:size]
         self._buffer_start += size
 
-    def _cut(self, end: int) -> bytes:
+    def _consume(self, end: int) -> bytes:
         """Removes the bytes of an event from the buffer and returns them."""
         raw = bytes(self._buffer[: end - self._buffer_start])
         if len(raw) > self.max_stanza_bytes:
