--- a/puffinpost/protocol/__init__.py
+++ b/puffinpost/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and encoders of wire protocols. Each is fed bytes, knows no socket, and bounds what it buffers."""
+"""Parsers and encoders of wire protocols. They work on bytes, do no I/O and limit the size of buffers."""
--- a/puffinpost/protocol/http.py
+++ b/puffinpost/protocol/http.py
@@ -10,11 +10,11 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
-MAX_REQUEST_BYTES = 8 * 1024  # of a request's head, and again of its body
+MAX_REQUEST_BYTES = 8 * 1024  # for a request's head, and separately for its body
 
 
 class HttpError(PuffinpostError, ValueError):
-    """Invalid or unsupported HTTP; ``status`` is the response to an operator's request."""
+    """Invalid or unsupported HTTP; ``status`` is the status code to send if it occurs in a request."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -22,13 +22,13 @@
 
 
 def encode_get(path: str, host: str) -> bytes:
-    """The bytes of a GET on a connection that stays open."""
+    """Encodes a GET request on a persistent connection."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response. ``keep_alive``: the connection may carry another."""
+    """A complete response. ``keep_alive``: whether the connection may be used for another exchange."""
 
     status: int
     body: bytes
@@ -52,7 +52,7 @@
     allow: str = ""  # the methods that the path supports, for status 405
 
     def encode(self, head_only: bool = False) -> bytes:
-        """The bytes of the response, after which the connection is closed; without body for a HEAD."""
+        """Encodes the response, after which the connection is closed; without a body for a HEAD request."""
         body = self.body.encode()
         allow = f"Allow: {self.allow}\r\n" if self.allow else ""
         head = (
@@ -64,7 +64,7 @@
 
 
 class _MessageParser:
-    """A state machine for one message. Bodies are framed by length, in chunks, or by the end of the input."""
+    """A state machine for one message, whose body is framed by length, chunks, or the end of the input."""
 
     max_head_bytes = MAX_HEAD_BYTES
     max_body_bytes = MAX_BODY_BYTES
@@ -76,7 +76,7 @@
         self._body_remaining = 0
 
     def _advance(self, data: bytes) -> bool:
-        """Whether the message is complete."""
+        """Parses as much as possible; returns whether the message is complete."""
         self._buffer += data
         while True:
             before = self._state, len(self._buffer)
@@ -93,7 +93,7 @@
         raise NotImplementedError
 
     def _set_body_framing(self, fields: dict[bytes, bytes]) -> bool:
-        """Whether the header fields define the framing of the body."""
+        """Sets how the body is framed; returns False if the header fields do not define it."""
         if fields.get(b"transfer-encoding", b"").lower() == b"chunked":
             self._state = "chunk_size"
         elif b"content-length" in fields:
@@ -141,10 +141,10 @@
         self._body_remaining = size
 
     def _move_body(self) -> None:
-        part = self._buffer[: self._body_remaining]
-        self._body += part
-        self._body_remaining -= len(part)
-        del self._buffer[: len(part)]
+        received = self._buffer[: self._body_remaining]
+        self._body += received
+        self._body_remaining -= len(received)
+        del self._buffer[: len(received)]
 
     def _sized(self) -> None:
         self._move_body()
@@ -189,17 +189,17 @@
         self._is_http_1_0 = False
 
     def feed(self, data: bytes) -> Response | None:
-        """The response, once it is complete. Nothing may follow it, as no other request is in flight."""
+        """Returns the response once it is complete. No bytes may follow it: no other request is in flight."""
         if not self._advance(data):
             return None
         if self._buffer:
-            raise HttpError("bytes after the reply")
+            raise HttpError("bytes after the response")
         return Response(self._status, bytes(self._body), self._keep_alive)
 
     def end(self) -> Response:
-        """The response, if its body is framed by the end of the input. Raises ``HttpError`` where not."""
+        """Returns the response if the end of the input frames its body; else raises ``HttpError``."""
         if self._state != "until_end":
-            raise HttpError("the connection ended before the reply did")
+            raise HttpError("the connection was closed before the response was complete")
         return Response(self._status, bytes(self._body), False)
 
     def _parse_first_line(self, line: bytes) -> None:
@@ -210,7 +210,7 @@
 
     def _on_headers(self, fields: dict[bytes, bytes]) -> None:
         if 100 <= self._status < 200:
-            return  # an interim response; the final one follows
+            return  # an interim response, which the final response follows
         connection = fields.get(b"connection", b"").lower()
         self._keep_alive = connection != b"close" and (not self._is_http_1_0 or connection == b"keep-alive")
         if self._status in (204, 304):
@@ -229,7 +229,7 @@
         self._method = self._path = ""
 
     def feed(self, data: bytes) -> Request | None:
-        """The request, once it is complete. Input behind it is ignored: a connection carries one."""
+        """Returns the request once it is complete. Later input is ignored: a connection has one request."""
         return Request(self._method, self._path) if self._advance(data) else None
 
     def _parse_first_line(self, line: bytes) -> None:
--- a/puffinpost/protocol/ipfix.py
+++ b/puffinpost/protocol/ipfix.py
@@ -1,6 +1,6 @@
-"""Encodes IPFIX messages (RFC 7011) with flow records for the flow exporter. Knows no socket.
+"""Encodes IPFIX messages (RFC 7011) with flow records for the flow exporter. Does no I/O.
 
-One template for IPv4 and one for IPv6; the reverse count of octets is that of RFC 5103.
+There is one template for IPv4 and one for IPv6. The reverse octet count is an element of RFC 5103.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 VERSION = 10
 TEMPLATE_SET = 2
-REVERSE_ENTERPRISE = 29305  # the enterprise number of the reverse elements
+REVERSE_ENTERPRISE = 29305  # the enterprise number of reverse information elements
 VARIABLE_LENGTH = 0xFFFF
 MAX_MESSAGE_BYTES = 65535
 MAX_NAME_BYTES = 254
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowRecord:
-    """One completed exchange, from its client to its transcriber."""
+    """A completed exchange between a client and an endpoint."""
 
     start_ms: int
     end_ms: int
@@ -33,7 +33,7 @@
     octets: int
     reverse_octets: int
     end_reason: int  # flowEndReason
-    application: str  # the class
+    application: str  # the request class
 
 
 IDLE_TIMEOUT, ACTIVE_TIMEOUT, END_DETECTED, FORCED_END = 1, 2, 3, 4
@@ -48,7 +48,7 @@
     (1, 8, REVERSE_ENTERPRISE),
     (136, 1, 0),
     (96, VARIABLE_LENGTH, 0),
-)  # start, end, source port, destination port, protocol, octets, octets back, end reason, application
+)  # start, end, source port, destination port, protocol, octets, reverse octets, end reason, application
 _ADDRESS_FIELDS = {256: ((8, 4, 0), (12, 4, 0)), 257: ((27, 16, 0), (28, 16, 0))}  # source, destination
 _COMMON_FORMAT = struct.Struct(">QQHHBQQB")
 TCP = 6
@@ -56,20 +56,20 @@
 
 def _encode_template(template_id: int) -> bytes:
     fields = (*_ADDRESS_FIELDS[template_id], *_COMMON_FIELDS)
-    parts = [_FIELD_SPECIFIER.pack(template_id, len(fields))]
+    specifiers = [_FIELD_SPECIFIER.pack(template_id, len(fields))]
     for element, length, enterprise in fields:
         if enterprise:
-            parts.append(_FIELD_SPECIFIER.pack(element | 0x8000, length) + struct.pack(">I", enterprise))
+            specifiers.append(_FIELD_SPECIFIER.pack(element | 0x8000, length) + struct.pack(">I", enterprise))
         else:
-            parts.append(_FIELD_SPECIFIER.pack(element, length))
-    return b"".join(parts)
+            specifiers.append(_FIELD_SPECIFIER.pack(element, length))
+    return b"".join(specifiers)
 
 
 def _encode_record(flow: FlowRecord) -> tuple[int, bytes]:
-    """A flow's template identifier and its record."""
+    """Returns a flow's template identifier and its encoded record."""
     source, destination = ipaddress.ip_address(flow.source[0]), ipaddress.ip_address(flow.destination[0])
     if source.version != destination.version:
-        # A template has one address family, so the IPv4 address is written as IPv4-mapped IPv6.
+        # A template has one address family, so the IPv4 address is encoded as an IPv4-mapped IPv6 address.
         source, destination = _as_ipv6(source), _as_ipv6(destination)
     name = flow.application.encode()[:MAX_NAME_BYTES]
     body = _COMMON_FORMAT.pack(
@@ -93,7 +93,7 @@
 
 
 class Encoder:
-    """Encodes the messages of one transport session; sequence numbers count the records sent before."""
+    """Encodes the messages of a transport session; a sequence number is the count of records sent before."""
 
     def __init__(self, domain: int) -> None:
         self.domain = domain
@@ -106,14 +106,14 @@
         return _MESSAGE_HEADER.pack(VERSION, length, now_s & 0xFFFFFFFF, self.sequence, self.domain) + body
 
     def encode_templates(self, now_s: int) -> bytes:
-        """The first message of a session, with both templates."""
+        """Encodes the first message of a session, which contains both templates."""
         body = b"".join(_encode_template(number) for number in _ADDRESS_FIELDS)
         return self._encode_message(
             now_s, _SET_HEADER.pack(TEMPLATE_SET, _SET_HEADER.size + len(body)) + body
         )
 
     def encode_flows(self, now_s: int, flows: Sequence[FlowRecord]) -> bytes:
-        """A message with flow records."""
+        """Encodes a message with flow records."""
         by_template: dict[int, list[bytes]] = {}
         for flow in flows:
             template_id, record = _encode_record(flow)
--- a/puffinpost/protocol/lines.py
+++ b/puffinpost/protocol/lines.py
@@ -1,7 +1,7 @@
-"""The platform's protocol: lines of text, each at most 4 KiB long and ended by CRLF.
+"""The platform's protocol: lines of text, each at most 4 KiB long and terminated by CRLF.
 
-Front ends and health checks use it. Everything here works on bytes: a forwarded line keeps the bytes that it
-was received as, its ending included.
+Frontends and health checks use it. All code here works on bytes: a line is forwarded with its original bytes,
+including its terminator.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 
 class LineError(PuffinpostError, ValueError):
-    """Invalid input; the text says why, and may be sent to a client."""
+    """Invalid input; the text contains the reason and may be sent to a client."""
 
 
 class LineSplitter:
-    """Splits a stream of bytes, fed in pieces of any size, into lines."""
+    """Splits a stream of bytes, which arrive in pieces of any size, into lines."""
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
         self.max_line_bytes = max_line_bytes
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yields the lines completed by ``data``, each with its ending.
+        """Yields the lines completed by ``data``, each with its terminator.
 
-        Raises ``LineError`` for a line that is too long, after the lines before it.
+        Raises ``LineError`` for a line that is too long, after yielding the lines before it.
         """
-        # LF alone ends a line too, for peers that omit CR; the line is forwarded as it was written.
+        # LF alone also terminates a line, for peers that omit CR; the line is forwarded unchanged.
         first, newline, rest = data.partition(b"\n")
         self._buffer += first + newline
         while newline:
@@ -47,7 +47,7 @@
 
     @property
     def incomplete_line(self) -> bytes:
-        """The buffered part of an incomplete line."""
+        """The buffered bytes of an incomplete line."""
         return bytes(self._buffer) if self.pending else b""
 
     @property
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A client's ``OPEN`` line: its fields, and the bytes before and after the value of ``d``."""
+    """A client's ``OPEN`` line: its fields and the bytes before and after the value of ``d``."""
 
     request_id: int
     request_class: str
@@ -81,13 +81,13 @@
     after_wait: bytes
 
     def forwarded(self, wait_ms: int) -> bytes:
-        """The line for an endpoint: unchanged, but for the time in ms that the node will wait."""
+        """Returns the line for an endpoint: only the time in ms that the node will wait is replaced."""
         return self.before_wait + b"%d" % wait_ms + self.after_wait
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
     """Parses ``OPEN ID KEY c=CLASS,d=MS,...``. Raises ``LineError`` for an invalid line."""
-    # Transcribers close the connection on a line that they cannot parse, so only valid ones are forwarded.
+    # Endpoints close the connection on a line that they cannot parse, so only valid lines are forwarded.
     if not _PRINTABLE_LINE.fullmatch(line):
         raise LineError("not a line of plain characters that ends with CRLF")
     arguments = line[:-2].split(b" ")
@@ -99,7 +99,8 @@
         (name if name in FIELDS_WITH_NAMES else name + value).isascii() for name, value in fields.items()
     ):
         raise LineError("not plain characters, but for the names of a class and a tenant")
-    # ``d`` may also be part of another name or value: the list starts behind the third space.
+    # ``d`` may also occur in another name or value, so it is only searched after the third space, where the
+    # list starts.
     list_at = line.index(field_list, len(command) + len(request_id) + len(key) + 3)
     wait_at = list_at if field_list.startswith(b"d=") else line.index(b",d=", list_at) + 1
     wait = fields[b"d"]
@@ -121,11 +122,11 @@
 
 
 def _parse_fields(field_list: bytes) -> dict[bytes, bytes]:
-    """The fields of an ``OPEN`` line's list, among them ``c`` and ``d``."""
+    """Parses the field list of an ``OPEN`` line, in which ``c`` and ``d`` are required."""
     fields: dict[bytes, bytes] = {}
     for item in field_list.split(b","):
         name, equals, value = item.partition(b"=")
-        # The settings allow any name for a class and a tenant, including an empty one.
+        # The settings allow any name for a class and a tenant, including an empty name.
         if not name or not equals or not (value or name in FIELDS_WITH_NAMES) or name in fields:
             raise LineError(f"the list's {name[:40]!r} has no value, or two")
         fields[name] = value
@@ -147,7 +148,7 @@
 
 
 def busy_response(retry_after_ms: int) -> bytes:
-    """The ``BUSY`` response, with the time in ms after which to retry where that is above 0."""
+    """Encodes the ``BUSY`` response, with the time in ms after which to retry if it is above 0."""
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"BUSY\r\n"
 
 
@@ -160,11 +161,11 @@
 STATS = b"STATS\r\n"
 
 
-# --- transcribers -----------------------------------------------------------------------------------
+# --- endpoints --------------------------------------------------------------------------------------
 
 
 class LineKind(Enum):
-    """The kind of a transcriber's line. A handover transmits the members' names."""
+    """The kind of an endpoint's line. A handover transmits the names of the members."""
 
     UP = b"UP"
     BYE = b"BYE"
@@ -177,30 +178,33 @@
     OTHER = b""
 
 
-_LINE_KINDS = {word.value: word for word in LineKind}
+_LINE_KINDS = {kind.value: kind for kind in LineKind}
 
 
 def line_kind(line: bytes) -> LineKind:
-    """The kind of a transcriber's line; ``OTHER`` where it concerns only the client."""
-    parts = line.split(None, 1)
-    return _LINE_KINDS.get(parts[0], LineKind.OTHER) if parts else LineKind.OTHER
+    """Returns the kind of an endpoint's line; ``OTHER`` if it concerns only the client."""
+    tokens = line.split(None, 1)
+    return _LINE_KINDS.get(tokens[0], LineKind.OTHER) if tokens else LineKind.OTHER
 
 
 def parse_load(line: bytes) -> float | None:
-    """The value of a ``LOAD X`` line, in microseconds of work a second; None where it is invalid."""
-    parts = line.split()
+    """Returns the value of a ``LOAD X`` line, or None if it is invalid.
+
+    It is a load in microseconds of work a second or a delay in ms; see ``load_reports``.
+    """
+    tokens = line.split()
     try:
-        value = float(parts[1])
+        value = float(tokens[1])
     except (IndexError, ValueError):
         return None
     return value if 0.0 <= value < 1e12 else None
 
 
 def parse_load_report(line: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The load report at the end of a line, in the order of ``fields``; empty where it lacks one."""
-    parts = line.split()
+    """Parses the load report at the end of a line, in the order of ``fields``; empty if one is missing."""
+    tokens = line.split()
     values: dict[str, float] = {}
-    for item in (parts[-1] if len(parts) > 1 else b"").split(b","):
+    for item in (tokens[-1] if len(tokens) > 1 else b"").split(b","):
         name, _, raw = item.partition(b"=")
         try:
             values[name.decode("ascii", "replace")] = float(raw)
--- a/puffinpost/protocol/scram.py
+++ b/puffinpost/protocol/scram.py
@@ -1,7 +1,7 @@
-"""The receiving end of SCRAM (RFC 5802, RFC 7677) on an XMPP stream, on the library scramp.
+"""The receiving end of SCRAM (RFC 5802, RFC 7677) on an XMPP stream, based on the scramp library.
 
-It adds to the library keys that are derived once for each user, a salt for unknown user names too, so that
-they cannot be told apart before the proof, and the same failure for every cause.
+It adds a cache of each user's keys, a salt for unknown user names too, so that a client cannot distinguish
+them from known names before its proof, and the same error for every reason of a failed proof.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from puffinpost.errors import PuffinpostError
 
 ITERATIONS = 4096  # RFC 7677, 4
-MAX_CACHED_USERS = 1024  # users whose keys are cached
+MAX_CACHED_USERS = 1024
 SALT_BYTES = 16
-CHANNEL_BINDING_TYPE = "tls-server-end-point"  # RFC 5929, 4: the one that every version of TLS has
+CHANNEL_BINDING_TYPE = "tls-server-end-point"  # RFC 5929, 4: available in every version of TLS
 Keys = tuple[bytes, bytes, bytes, int]
 
 
@@ -41,7 +41,7 @@
         self._cached_keys: OrderedDict[str, Keys] = OrderedDict()
 
     def keys_for(self, user: str) -> Keys:
-        """The keys of a user; for an unknown name, keys that no password matches."""
+        """Returns the keys of a user; for an unknown name, keys that no password matches."""
         keys = self._cached_keys.get(user)
         if keys is None:
             keys = self._cached_keys[user] = self._derive(user)
@@ -53,7 +53,7 @@
     def _derive(self, user: str) -> Keys:
         salt = hmac.digest(self._unknown_user_secret, user.encode(), "sha256")[:SALT_BYTES]
         password = self.users.get(user)
-        # An unknown name costs the same work, with a secret in place of the password.
+        # An unknown name takes the same work: a secret replaces the password.
         secret = saslprep(password).encode() if password is not None else self._unknown_user_secret
         salted = hashlib.pbkdf2_hmac("sha256", secret, salt, ITERATIONS)
         stored = hashlib.sha256(hmac.digest(salted, b"Client Key", "sha256")).digest()
@@ -61,10 +61,10 @@
 
 
 class ScramExchange:
-    """One attempt of a client: ``handle_first``, then ``handle_final``."""
+    """One authentication attempt of a client: ``handle_first``, then ``handle_final``."""
 
     def __init__(self, mechanism: str, verifiers: VerifierStore, binding: bytes) -> None:
-        self.user = ""  # authenticated once ``handle_final`` has returned
+        self.user = ""  # the authenticated user, once ``handle_final`` has returned
         self.authzid = ""
         self._claimed_user = ""
         self._verifiers = verifiers
@@ -77,7 +77,7 @@
         return self._verifiers.keys_for(user)
 
     def handle_first(self, message: str) -> str:
-        """The response to the client's first message. Raises ``ScramError``."""
+        """Returns the response to the client's first message. Raises ``ScramError`` if it is malformed."""
         try:
             self._server.set_client_first(message)
             attributes = message.split(",", 2)
@@ -87,7 +87,7 @@
             raise ScramError("malformed-request") from None
 
     def handle_final(self, message: str) -> str:
-        """The server's signature, if the client's proof is valid. Raises ``ScramError`` where not."""
+        """Returns the server's signature. Raises ``ScramError`` if the client's proof is invalid."""
         try:
             self._server.set_client_final(message)
         except ScramException:
@@ -99,7 +99,10 @@
 
 
 def channel_binding_data(pem: str) -> bytes:
-    """The channel binding data of a certificate: a hash of it (RFC 5929, 4.1). Raises ``ValueError``."""
+    """Returns the channel binding data of a certificate, which is a hash of it (RFC 5929, 4.1).
+
+    Raises ``ValueError`` if the library cannot use the certificate.
+    """
     try:
         server = ScramMechanism("SCRAM-SHA-256-PLUS").make_server(
             lambda _user: None, (CHANNEL_BINDING_TYPE, pem)
