--- a/puffinpost/protocol/mqtt/__init__.py
+++ b/puffinpost/protocol/mqtt/__init__.py
@@ -1,6 +1,6 @@
 """MQTT 3.1.1 and 5.0: packets, their parser and encoder, and the delivery state of a session.
 
-Everything here is fed bytes or values and knows no socket.
+All code here works on bytes or values and does no I/O.
 """
 
 from puffinpost.protocol.mqtt.codes import (
--- a/puffinpost/protocol/mqtt/codes.py
+++ b/puffinpost/protocol/mqtt/codes.py
@@ -1,4 +1,4 @@
-"""Control packet types, reason codes and versions of MQTT, as numbers on the wire.
+"""Control packet types, reason codes and protocol versions of MQTT, as they are encoded on the wire.
 
 Section numbers are those of MQTT 5.0 (OASIS, 2019); 3.1.1 is MQTT 3.1.1 (OASIS, 2014).
 """
@@ -66,7 +66,7 @@
     WILDCARDS_UNSUPPORTED = 0xA2
 
 
-# The return codes that a CONNACK of 3.1.1 has in place of reason codes (3.2.2.3 there).
+# The return codes that a CONNACK of 3.1.1 has instead of reason codes (MQTT 3.1.1, 3.2.2.3).
 _RETURN_CODES_311 = {
     ReasonCode.SUCCESS: 0,
     ReasonCode.UNSUPPORTED_VERSION: 1,
@@ -79,7 +79,7 @@
 
 
 def connack_code(reason: ReasonCode, version: int) -> int:
-    """The code for a reason in a CONNACK of the given version."""
+    """Returns the code for a reason in a CONNACK of the given protocol version."""
     if version == V5:
         return int(reason)
     return _RETURN_CODES_311.get(reason, SERVER_UNAVAILABLE_311)
--- a/puffinpost/protocol/mqtt/delivery.py
+++ b/puffinpost/protocol/mqtt/delivery.py
@@ -1,7 +1,8 @@
 """The delivery state of an MQTT session (MQTT 5.0, 4.3 and 4.4): packet identifiers and acknowledgements.
 
-It outlives connections, as the standard requires, and is passed to the next process at an upgrade by ``pack``
-and ``unpack``. It knows neither sockets nor queues: an outgoing message is identified by the caller's number.
+The state outlives connections, as the standard requires. ``pack`` and ``unpack`` transfer it to the successor
+process in a hot restart. There are no sockets or queues here: an outgoing message is identified by a number
+of the caller.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def message_digest(packet: Publish) -> bytes:
-    """A digest over topic and payload, which tells a repeated message from another one."""
+    """Computes a digest of topic and payload, which distinguishes a repeated message from a different one."""
     digest = hashlib.blake2b(packet.payload, digest_size=DIGEST_BYTES)
     digest.update(packet.topic.encode())
     return digest.digest()
@@ -29,10 +30,10 @@
 class InboundDelivery:
     """Messages above QoS 0 received from the peer.
 
-    ``receive_maximum`` limits the messages that the peer may have unacknowledged (3.1.2.11.3). At QoS 2 the
+    ``receive_maximum`` limits the number of unacknowledged messages of the peer (3.1.2.11.3). At QoS 2 the
     protocol itself delivers each message once. At QoS 1 a sender repeats a PUBLISH whose PUBACK it has not
-    received, with DUP set; such a repeat is recognized here by its identifier and digest, for as long as the
-    identifier has not been reused.
+    received, with DUP set. Such a repeat is recognized here by its identifier and digest until the identifier
+    is reused.
     """
 
     def __init__(self, receive_maximum: int) -> None:
@@ -41,9 +42,9 @@
         self._acknowledged: OrderedDict[int, bytes] = OrderedDict()  # QoS 1: the latest digests
 
     def is_new(self, packet: Publish) -> bool:
-        """Whether a message is to be delivered; a repeated one is only acknowledged again.
+        """Whether a message must be delivered; a repeated message is only acknowledged again.
 
-        Raises ``MqttError`` where the receive maximum is exceeded or an identifier is in use for another
+        Raises ``MqttError`` if the receive maximum is exceeded or the identifier is in use for another
         message.
         """
         digest = message_digest(packet)
@@ -67,12 +68,12 @@
         """Records that a PUBACK is sent for a message at QoS 1."""
         self._acknowledged.pop(packet.packet_id, None)
         self._acknowledged[packet.packet_id] = message_digest(packet)
-        # A sender has at most the receive maximum unacknowledged, so it can repeat no older message.
+        # A sender has at most this many unacknowledged messages, so it cannot repeat an older one.
         while len(self._acknowledged) > self.receive_maximum:
             self._acknowledged.popitem(last=False)
 
     def on_rejected(self, packet_id: int) -> None:
-        """Records a failure in the PUBREC for a message at QoS 2: no PUBREL follows (4.3.3)."""
+        """Records that the PUBREC for a message at QoS 2 had a failure code: no PUBREL follows (4.3.3)."""
         self._unreleased.pop(packet_id, None)
 
     def on_released(self, packet_id: int) -> bool:
@@ -99,14 +100,14 @@
 
 
 class UnacknowledgedMessage(NamedTuple):
-    """A message that was sent. ``message`` is the caller's number."""
+    """A message that was sent. ``message`` is the caller's number for it."""
 
     message: int
     qos: int
 
 
 class AcknowledgementOutcome(NamedTuple):
-    """What an acknowledgement changes: the message that it completes, and the packet to reply with."""
+    """The effect of an acknowledgement: the message that it completes and the packet to reply with."""
 
     completed_message: int | None
     reply_type: PacketType | None
@@ -126,13 +127,13 @@
 
     @property
     def releasing(self) -> list[int]:
-        """Identifiers whose PUBREL has no PUBCOMP, in order; it is sent again on a new connection (4.4)."""
+        """The identifiers whose PUBREL has no PUBCOMP, in order; it is resent on a new connection (4.4)."""
         return list(self._releasing)
 
     def packet_id_for(self, message: int, qos: int) -> int:
-        """The identifier of a message: the one from an earlier connection, else a free one.
+        """Returns the identifier of a message: the one from an earlier connection, else an unused one.
 
-        Raises ``MqttError`` where every identifier is in use.
+        Raises ``MqttError`` if every identifier is in use.
         """
         assigned = self._packet_ids.get(message)
         if assigned is not None:
@@ -152,8 +153,8 @@
     ) -> AcknowledgementOutcome:
         """Records a PUBACK, PUBREC or PUBCOMP with its reason code.
 
-        Raises ``MqttError`` where it does not fit the message's QoS. One for an unknown identifier, which a
-        peer may send after a reconnect, changes nothing.
+        Raises ``MqttError`` if its type does not match the message's QoS. An acknowledgement of an unknown
+        identifier, which a peer may send after a reconnect, changes nothing.
         """
         if packet_type is PacketType.PUBCOMP:
             self._releasing.pop(packet_id, None)
@@ -171,7 +172,7 @@
         return AcknowledgementOutcome(sent.message, PacketType.PUBREL)
 
     def qos_of(self, message: int) -> int | None:
-        """The QoS that a message was sent with; None where it was not sent, or is complete."""
+        """Returns the QoS that a message was sent with, or None if it was not sent or is complete."""
         packet_id = self._packet_ids.get(message)
         return self._unacknowledged[packet_id].qos if packet_id is not None else None
 
--- a/puffinpost/protocol/mqtt/encoder.py
+++ b/puffinpost/protocol/mqtt/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes MQTT control packets as bytes of version 3.1.1 or 5.0. Section numbers are those of MQTT 5.0."""
+"""Encodes MQTT control packets of version 3.1.1 or 5.0. Section numbers are those of MQTT 5.0."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def encode(packet: Packet, version: int = V5) -> bytes:
-    """A packet's bytes. In 3.1.1 properties are omitted, and so are reason codes that it does not have."""
+    """Encodes a packet. In 3.1.1 properties are omitted, and reason codes that it does not define."""
     is_v5 = version == V5
     properties = _properties(packet.properties) if is_v5 and not isinstance(packet, Ping) else b""
     match packet:
@@ -38,12 +38,12 @@
         case Subscribe() | Unsubscribe() | SubscriptionAck():
             return _subscription_packet(packet, properties, is_v5)
         case Ack(packet_type, packet_id, code):
-            body = _uint16(packet_id) + _outcome(code, packet.properties, is_v5)
+            body = _uint16(packet_id) + _reason_and_properties(code, packet.properties, is_v5)
             return _frame(packet_type, FIXED_HEADER_FLAGS.get(packet_type, 0), body)
         case Ping(packet_type):
             return _frame(packet_type, 0, b"")
         case Disconnect(packet_type, code):
-            return _frame(packet_type, 0, _outcome(code, packet.properties, is_v5))
+            return _frame(packet_type, 0, _reason_and_properties(code, packet.properties, is_v5))
 
 
 def _frame(packet_type: PacketType, flags: int, body: bytes) -> bytes:
@@ -82,8 +82,8 @@
     return _text(subscription.topic_filter) + bytes((options,))
 
 
-def _outcome(code: int, properties: Mapping[str, Any], is_v5: bool) -> bytes:
-    """A reason code and properties, omitted where they say nothing (3.4.2.1, 3.14.2.1)."""
+def _reason_and_properties(code: int, properties: Mapping[str, Any], is_v5: bool) -> bytes:
+    """Encodes a reason code and properties; omits both if they are 0 and empty (3.4.2.1, 3.14.2.1)."""
     if not is_v5 or not (code or properties):
         return b""
     return bytes((code,)) + (_properties(properties) if properties else b"")
@@ -107,7 +107,7 @@
 
 
 def _properties(properties: Mapping[str, Any]) -> bytes:
-    """Properties with their length in front (2.2.2); user properties are a list of pairs."""
+    """Encodes properties with their length as a prefix (2.2.2); user properties are a list of pairs."""
     encoded = bytearray()
     for name, value in properties.items():
         identifier, definition = PROPERTIES_BY_NAME[name]
--- a/puffinpost/protocol/mqtt/errors.py
+++ b/puffinpost/protocol/mqtt/errors.py
@@ -1,4 +1,4 @@
-"""The error that the MQTT parser and the delivery state raise on input that violates the standard."""
+"""The error that the MQTT parser and the delivery state raise if input violates the standard."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class MqttError(PuffinpostError, ValueError):
-    """A violation of the protocol; the connection is to be closed with ``reason``.
+    """A protocol violation; the connection must be closed with ``reason``.
 
-    ``packets_before`` holds the complete packets that the same call to ``PacketParser.feed`` found first.
+    ``packets_before`` holds the complete packets that the same call to ``PacketParser.feed`` parsed first.
     """
 
     def __init__(self, reason: ReasonCode, text: str) -> None:
--- a/puffinpost/protocol/mqtt/packets.py
+++ b/puffinpost/protocol/mqtt/packets.py
@@ -1,4 +1,4 @@
-"""MQTT control packets as immutable values, in the shape that the parser returns and the encoder takes.
+"""MQTT control packets as immutable values, which the parser returns and the encoder accepts.
 
 Section numbers are those of MQTT 5.0.
 """
@@ -10,12 +10,12 @@
 
 from puffinpost.protocol.mqtt.codes import V5, PacketType
 
-Properties: TypeAlias = dict[str, Any]  # by the names in `properties.PROPERTIES`
+Properties: TypeAlias = dict[str, Any]  # keys are the names in `properties.PROPERTIES`
 
 
 @dataclass(frozen=True, slots=True)
 class Will:
-    """The message to be published when the client's connection is lost (3.1.2.5)."""
+    """The message that is published when the client's connection is lost (3.1.2.5)."""
 
     topic: str
     payload: bytes
--- a/puffinpost/protocol/mqtt/parser.py
+++ b/puffinpost/protocol/mqtt/parser.py
@@ -1,7 +1,7 @@
 """Parses a stream of bytes into MQTT 3.1.1 and 5.0 control packets.
 
-The caller feeds bytes as they arrive, in pieces of any size, and receives complete packets. The parser knows
-no socket and buffers at most one packet of the given maximum size.
+The caller feeds bytes as they arrive, in pieces of any size, and receives complete packets. The parser does
+no I/O and buffers at most one packet of the given maximum size.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 MAX_FILTERS = 64  # in one SUBSCRIBE or UNSUBSCRIBE
 
-# Flags in the fixed header (2.1.3); PUBLISH has its own, every other type has 0.
+# Flags in the fixed header (2.1.3). PUBLISH has variable flags; types without an entry have 0.
 FIXED_HEADER_FLAGS: dict[int, int] = {
     PacketType.PUBREL: 2,
     PacketType.SUBSCRIBE: 2,
@@ -55,7 +55,7 @@
 
 
 class _FixedHeader(NamedTuple):
-    """``size``: the bytes of the header itself. ``body_size``: the remaining length (2.1.4)."""
+    """``size`` is the length of the header itself in bytes, ``body_size`` the remaining length (2.1.4)."""
 
     size: int
     body_size: int
@@ -64,7 +64,7 @@
 class PacketParser:
     """Splits a stream of bytes into packets.
 
-    ``version`` is 0 until the first CONNECT arrives, or is set by the client that sends one.
+    ``version`` is 0 until the first CONNECT arrives; a client, which sends the CONNECT, sets it instead.
     ``max_packet_bytes`` includes the fixed header.
     """
 
@@ -79,7 +79,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Packet]:
-        """The packets completed by ``data``.
+        """Returns the packets completed by ``data``.
 
         Raises ``MqttError`` on invalid input, with the packets before it in ``packets_before``.
         """
@@ -112,10 +112,10 @@
         return packet
 
     def _fixed_header(self) -> _FixedHeader | None:
-        """The fixed header; None while it is incomplete.
+        """Parses the fixed header; returns None while it is incomplete.
 
-        The first byte is checked before anything else arrives, so that a peer that does not speak MQTT is
-        not buffered up to the maximum packet size.
+        The first byte is checked as soon as it arrives, so that the input of a peer that does not speak MQTT
+        is not buffered up to the maximum packet size.
         """
         if not self._buffer:
             return None
@@ -153,7 +153,7 @@
                 packet = self._parse_publish(flags, body)
             case PacketType.PUBACK | PacketType.PUBREC | PacketType.PUBREL | PacketType.PUBCOMP:
                 packet_id = body.packet_id()
-                packet = Ack(packet_type, packet_id, *self._parse_outcome(packet_type, body))
+                packet = Ack(packet_type, packet_id, *self._parse_reason_and_properties(packet_type, body))
             case PacketType.SUBSCRIBE:
                 packet_id, properties = body.packet_id(), self._parse_properties(packet_type, body)
                 packet = Subscribe(packet_id, _parse_filters(body, self._parse_subscription), properties)
@@ -172,8 +172,10 @@
     def _parse_properties(self, packet_type: PacketType, body: PacketReader) -> Properties:
         return body.properties(packet_type) if self.version == V5 else {}
 
-    def _parse_outcome(self, packet_type: PacketType, body: PacketReader) -> tuple[int, Properties]:
-        """A reason code and properties, each of which may be omitted at the end (3.4.2.1, 3.14.2.1)."""
+    def _parse_reason_and_properties(
+        self, packet_type: PacketType, body: PacketReader
+    ) -> tuple[int, Properties]:
+        """Parses a reason code and properties; both, or the latter, may be omitted (3.4.2.1, 3.14.2.1)."""
         if self.version != V5 or not body.remaining:
             return 0, {}
         code = body.byte()
@@ -245,7 +247,7 @@
     def _parse_disconnect(self, packet_type: PacketType, body: PacketReader) -> Disconnect:
         if self.version != V5 and (packet_type is PacketType.AUTH or body.remaining):
             raise MqttError(ReasonCode.MALFORMED, f"{packet_type.name} that 3.1.1 does not know")
-        return Disconnect(packet_type, *self._parse_outcome(packet_type, body))
+        return Disconnect(packet_type, *self._parse_reason_and_properties(packet_type, body))
 
 
 def _check_connect_flags(flags: int, version: int) -> None:
@@ -257,7 +259,7 @@
 
 
 def _parse_filters(body: PacketReader, parse_one: Callable[[PacketReader], _Item]) -> tuple[_Item, ...]:
-    """The filters of a SUBSCRIBE or UNSUBSCRIBE, at least one, up to the end of the packet."""
+    """Parses the filters of a SUBSCRIBE or UNSUBSCRIBE, at least one, up to the end of the packet."""
     filters: list[_Item] = []
     while body.remaining:
         if len(filters) >= MAX_FILTERS:
--- a/puffinpost/protocol/mqtt/properties.py
+++ b/puffinpost/protocol/mqtt/properties.py
@@ -1,4 +1,4 @@
-"""The properties of MQTT 5.0 (2.2.2.2): identifier, name, encoding and the packets that may carry each."""
+"""The properties of MQTT 5.0 (2.2.2.2): identifier, name, encoding and the packets that may contain each."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     VARINT = auto()
     TEXT = auto()
     BINARY = auto()
-    PAIR = auto()  # two texts; the property may be repeated
+    PAIR = auto()  # two strings; the property may be repeated
 
 
 @dataclass(frozen=True, slots=True)
 class PropertyDefinition:
-    """One property. ``allowed_in_will``: whether a will may carry it."""
+    """A property. ``allowed_in_will``: whether the properties of a will may contain it."""
 
     name: str
     encoding: PropertyEncoding
--- a/puffinpost/protocol/mqtt/reader.py
+++ b/puffinpost/protocol/mqtt/reader.py
@@ -1,4 +1,4 @@
-"""Reads the fields of one MQTT packet's body. Section numbers are those of MQTT 5.0."""
+"""Reads the fields in the body of an MQTT packet. Section numbers are those of MQTT 5.0."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class PacketReader:
-    """Reads fields in order from the body behind a fixed header.
+    """Reads fields in order from the body, which follows the fixed header.
 
-    Every method raises ``MqttError`` where the body ends too early or the field is invalid.
+    Every method raises ``MqttError`` if the body ends too early or the field is invalid.
     """
 
     __slots__ = ("data", "offset")
@@ -33,48 +33,48 @@
 
     @property
     def remaining(self) -> int:
-        """The number of bytes not read yet."""
+        """The number of unread bytes."""
         return len(self.data) - self.offset
 
     def take(self, size: int) -> bytes:
-        """The next ``size`` bytes."""
+        """Reads the next ``size`` bytes."""
         end = self.offset + size
         if end > len(self.data):
             raise MqttError(ReasonCode.MALFORMED, "a packet is shorter than it says")
-        taken = self.data[self.offset : end]
+        value = self.data[self.offset : end]
         self.offset = end
-        return taken
+        return value
 
     def rest(self) -> bytes:
-        """All remaining bytes."""
+        """Reads all remaining bytes."""
         return self.take(self.remaining)
 
     def expect_end(self) -> None:
-        """Raises ``MqttError`` unless the whole body was read."""
+        """Raises ``MqttError`` unless the complete body was read."""
         if self.remaining:
             raise MqttError(ReasonCode.MALFORMED, "a packet is longer than what it holds")
 
     def byte(self) -> int:
-        """One unsigned byte."""
+        """Reads one unsigned byte."""
         return self.take(1)[0]
 
     def flag(self) -> int:
-        """A property's byte that must be 0 or 1."""
+        """Reads the byte of a property, which must be 0 or 1."""
         value = self.byte()
         if value > 1:
             raise MqttError(ReasonCode.PROTOCOL_ERROR, f"a property that is 0 or 1 is {value}")
         return value
 
     def uint16(self) -> int:
-        """A two byte integer (1.5.2)."""
+        """Reads a two byte integer (1.5.2)."""
         return int.from_bytes(self.take(2), "big")
 
     def uint32(self) -> int:
-        """A four byte integer (1.5.3)."""
+        """Reads a four byte integer (1.5.3)."""
         return int.from_bytes(self.take(4), "big")
 
     def varint(self) -> int:
-        """A variable byte integer in its shortest form (1.5.5)."""
+        """Reads a variable byte integer, which must have its shortest encoding (1.5.5)."""
         value = 0
         for index in range(MAX_VARINT_BYTES):
             byte = self.byte()
@@ -86,11 +86,11 @@
         raise MqttError(ReasonCode.MALFORMED, "a length has more than four bytes")
 
     def binary(self) -> bytes:
-        """Binary data with its length in front (1.5.6)."""
+        """Reads binary data with a length prefix (1.5.6)."""
         return self.take(self.uint16())
 
     def text(self) -> str:
-        """A UTF-8 string with its length in front (1.5.4)."""
+        """Reads a UTF-8 string with a length prefix (1.5.4)."""
         raw = self.binary()
         try:
             text = raw.decode()
@@ -101,22 +101,22 @@
         return text
 
     def pair(self) -> tuple[str, str]:
-        """A UTF-8 string pair (1.5.7)."""
+        """Reads a UTF-8 string pair (1.5.7)."""
         return self.text(), self.text()
 
     def packet_id(self) -> int:
-        """A packet identifier (2.2.1)."""
+        """Reads a packet identifier (2.2.1)."""
         packet_id = self.uint16()
         if not packet_id:
             raise MqttError(ReasonCode.MALFORMED, "a packet identifier is 0")
         return packet_id
 
     def properties(self, packet_type: PacketType) -> Properties:
-        """The properties of a packet (2.2.2)."""
+        """Reads the properties of a packet (2.2.2)."""
         return self._properties(packet_type, lambda definition: packet_type in definition.packet_types)
 
     def will_properties(self) -> Properties:
-        """The properties of the will in a CONNECT (3.1.3.2)."""
+        """Reads the properties of the will in a CONNECT (3.1.3.2)."""
         return self._properties(PacketType.CONNECT, lambda definition: definition.allowed_in_will)
 
     def _properties(
--- a/puffinpost/protocol/mqtt/topics.py
+++ b/puffinpost/protocol/mqtt/topics.py
@@ -7,7 +7,7 @@
 
 
 def check_topic(topic: str) -> None:
-    """Raises ``MqttError`` for an invalid topic name: one that is empty or contains a wildcard."""
+    """Raises ``MqttError`` if a topic name is invalid: empty or with a wildcard."""
     if not topic or "+" in topic or "#" in topic:
         raise MqttError(ReasonCode.TOPIC_INVALID, f"{topic[:40]!r} is no topic name")
 
