--- a/puffinpost/simulator/__init__.py
+++ b/puffinpost/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire."""
+"""Runs balancers for the simulator, which sends events and receives actions in its binary wire format."""
--- a/puffinpost/simulator/action_encoder.py
+++ b/puffinpost/simulator/action_encoder.py
@@ -1,6 +1,6 @@
-"""Encodes a batch's actions as one reply frame of the simulator's wire.
+"""Encodes the actions of a batch as one reply frame of the simulator's wire format.
 
-`simulator.host` calls it. It decides nothing.
+`simulator.host` calls it. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 ENDPOINT_BYTES = 6
 MAX_TIMER_NS = 71 * 60 * 1_000_000_000
 
-# Each record: its code, the instance, then the action's fields, padded to 32 bytes.
+# Each record consists of its code, the instance and the action's fields, padded to 32 bytes.
 _START_ATTEMPT_CODE, _START_ATTEMPT = 10, struct.Struct(">BHQ6sQ7x")
 _REJECT_CODE, _REJECT = 20, struct.Struct(">BHQQ13x")
 _FAIL_CODE, _FAIL = 30, struct.Struct(">BHQ21x")
@@ -38,18 +38,18 @@
 _POLL_ENDPOINT_LIST_CODE, _POLL_ENDPOINT_LIST = 110, struct.Struct(">BHB28x")
 _MIGRATE_CODE, _MIGRATE = 130, struct.Struct(">BHQ21x")
 
-_WATCH_CHANGES = 1  # of a poll: the changes after the list too
+_WATCH_CHANGES = 1  # in a poll: changes after the list are requested too
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceFault:
-    """An instance failed; ends the day with this text."""
+    """An instance failed; the simulator ends its run with this text."""
 
     text: str
 
 
 def encode_actions(actions: Iterable[tuple[int, Action | InstanceFault]]) -> bytes:
-    """One reply frame for a batch's actions, each with its instance, in order."""
+    """Encodes one reply frame for a batch's actions, each with its instance, in order."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, action in actions:
@@ -89,7 +89,7 @@
 
 
 def _encode_text(code: int, instance: int, text: str, tail: bytearray) -> bytes:
-    """A record that refers to its text in the frame's tail."""
+    """Encodes a record that refers to its text in the frame's tail; appends the text to ``tail``."""
     raw = text.encode("utf-8", "replace")
     record = _TEXT.pack(code, instance, len(tail), len(raw))
     tail += raw
--- a/puffinpost/simulator/event_decoder.py
+++ b/puffinpost/simulator/event_decoder.py
@@ -1,6 +1,6 @@
-"""Decodes the simulator's frames: the creation and end of instances, and the events of each.
+"""Decodes the simulator's frames: the creation and end of instances, and the events of each instance.
 
-`simulator.host` calls it for each batch. It decides nothing, and knows nothing of an instance but its number.
+`simulator.host` calls it for each batch. It makes no decisions and identifies an instance only by its number.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 FRAME_HEADER = struct.Struct(">IIQ")  # length of the frame, number of records, clock in ns
 EVENT_BYTES = 56
 
-# Codes of the records, by the names of the simulator's wire.
+# Codes of the records, with their names in the simulator's wire format.
 CREATE, FLEET, ARRIVAL, ESTABLISHED, COMPLETED, GONE, TICK_DUE = 10, 20, 30, 40, 50, 60, 70
 PROBE_DONE, NEIGHBOUR_SAYS, RETIRE, INVENTORY, INHERITED, HINT_UPDATE = 80, 90, 100, 110, 120, 130
 
@@ -54,19 +54,19 @@
 
 # Flags of a request.
 HAS_LOAD, IS_RETRY, IS_MID_FLOW, IS_RETURNING = 1, 2, 8, 16
-# Kinds of a HINT_UPDATE, and the units of their values.
+# Kinds of a HINT_UPDATE and the units of their values.
 HINT_LOAD, HINT_DELAY = 1, 2
 NS_PER_LOAD_HINT, NS_PER_DELAY_HINT = 1e3, 1e6
-MAX_HINT = 1e12  # a value past this is an error
+MAX_HINT = 1e12  # a value that is not below this limit is invalid
 
 
 class WireError(PuffinpostError):
-    """The input is not a frame of this wire; the text says what is wrong and where."""
+    """The input is not a valid frame; the text contains the error and its position."""
 
 
 @dataclass(frozen=True, slots=True)
 class CreateInstance:
-    """An instance starts. ``problem`` says what is wrong with its settings, if anything."""
+    """An instance starts. ``problem`` describes the error if its settings are invalid."""
 
     seed: int
     settings: Settings | None
@@ -84,12 +84,12 @@
 
 @dataclass(slots=True)
 class EventDecoder:
-    """Decodes frames into pairs of an instance and an item. Keeps the numbered endpoint lists."""
+    """Decodes frames into pairs of an instance and an item. Keeps the endpoint lists by number."""
 
-    lists: dict[int, tuple[EndpointEntry, ...]] = field(default_factory=dict)
+    endpoint_lists: dict[int, tuple[EndpointEntry, ...]] = field(default_factory=dict)
 
     def decode(self, frame: bytes) -> tuple[int, list[InstanceItem]]:
-        """The frame's clock in ns and its items, in order. ``WireError``: the frame is not well-formed."""
+        """Returns the frame's clock in ns and its items, in order. Raises ``WireError`` if it is invalid."""
         if len(frame) < FRAME_HEADER.size:
             raise WireError(f"frame of {len(frame)} bytes: shorter than its header of {FRAME_HEADER.size}")
         length, count, now_ns = FRAME_HEADER.unpack_from(frame)
@@ -104,18 +104,18 @@
             offset = FRAME_HEADER.size + number * EVENT_BYTES
             try:
                 item = self._decode_record(frame, offset, tail)
-            except WireError as problem:
-                raise WireError(f"record {number} at byte {offset}: {problem}") from None
-            except ValueError as problem:
+            except WireError as error:
+                raise WireError(f"record {number} at byte {offset}: {error}") from None
+            except ValueError as error:
                 raise WireError(
-                    f"record {number} at byte {offset}: event code {frame[offset]}: {problem}"
+                    f"record {number} at byte {offset}: event code {frame[offset]}: {error}"
                 ) from None
             if item is not None:
                 items.append(item)
         return now_ns, items
 
     def _decode_record(self, frame: bytes, offset: int, tail: memoryview) -> InstanceItem | None:
-        """One record's instance and item; None: the record has no event for an instance."""
+        """Decodes a record into its instance and item; None if it has no event for an instance."""
         code = frame[offset]
         decode = _EVENT_DECODERS.get(code)
         if decode is not None:
@@ -128,13 +128,13 @@
             self._decode_inventory(frame, offset + 1, tail)
             return None
         if code == NEIGHBOUR_SAYS:
-            return None  # balancers share nothing here
+            return None  # balancers in the simulator do not share state
         raise WireError(f"unknown event code {code}")
 
     def _decode_inventory(self, frame: bytes, offset: int, tail: memoryview) -> None:
         number, tail_offset, count = _INVENTORY.unpack_from(frame, offset)
         raw = _slice(tail, tail_offset, count * _INVENTORY_LINE.size)
-        self.lists[number] = tuple(
+        self.endpoint_lists[number] = tuple(
             EndpointEntry(
                 _endpoint_id(name), zone, endpoint_type, cell, EndpointStatus(status), weight, started_ns
             )
@@ -148,7 +148,7 @@
         kind = ListUpdateKind(kind_code)
         if kind is ListUpdateKind.FAILED:
             return instance, EndpointListUpdate(kind)
-        entries = self.lists.get(number)
+        entries = self.endpoint_lists.get(number)
         if entries is None:
             raise WireError(f"server list {number} was never given")
         return instance, EndpointListUpdate(kind, entries)
@@ -159,8 +159,8 @@
     text = bytes(_slice(tail, tail_offset, size)).decode("utf-8", "replace")
     try:
         return instance, CreateInstance(seed, parse_settings(text))
-    except InvalidSettingsError as problem:
-        return instance, CreateInstance(seed, None, str(problem))
+    except InvalidSettingsError as error:
+        return instance, CreateInstance(seed, None, str(error))
 
 
 def _decode_retire(frame: bytes, offset: int) -> InstanceItem:
@@ -217,7 +217,7 @@
 
 def _decode_hint_update(frame: bytes, offset: int) -> InstanceItem | None:
     instance, request, _attempt, name, kind, value = _HINT_UPDATE.unpack_from(frame, offset)
-    if not 0 <= value < MAX_HINT:  # also rejects NaN; a later hint will have a value
+    if not 0 <= value < MAX_HINT:  # also rejects NaN; a later hint will have a valid value
         return None
     if kind == HINT_LOAD:
         return instance, LoadReported(request, int(value * NS_PER_LOAD_HINT))
--- a/puffinpost/simulator/host.py
+++ b/puffinpost/simulator/host.py
@@ -1,6 +1,7 @@
-"""Hosts many balancers in one process for the simulator: batches on standard input, replies on output.
+"""Hosts many balancers in one process for the simulator.
 
-It passes each event to its instance and decides nothing itself.
+It reads batches on standard input and writes replies on standard output. It passes each event to its instance
+and makes no decisions itself.
 """
 
 from __future__ import annotations
@@ -22,19 +23,19 @@
 )
 
 LENGTH_BYTES = 4
-TRACEBACK_FRAMES = 3  # innermost frames of a fault's traceback that the simulator is given
+TRACEBACK_FRAMES = 3  # innermost frames of an exception's traceback that are sent to the simulator
 EXIT_BAD_INPUT = 2
 
 
 class Host:
-    """The instances of one process, by number. They share nothing but this map."""
+    """The instances of one process, by number. They share no state except this map."""
 
     def __init__(self) -> None:
         self.decoder = EventDecoder()
         self.instances: dict[int, Balancer] = {}
 
-    def answer(self, frame: bytes) -> bytes:
-        """The reply to one batch. ``WireError``: the batch is not well-formed."""
+    def handle_batch(self, frame: bytes) -> bytes:
+        """Returns the reply to one batch. Raises ``WireError`` if the batch is invalid."""
         now_ns, items = self.decoder.decode(frame)
         actions: list[tuple[int, Action | InstanceFault]] = []
         for instance, item in items:
@@ -44,7 +45,7 @@
                 continue
             try:
                 actions.extend((instance, action) for action in self._handle(instance, item, now_ns))
-            # The border to the decisions: the simulator has to see any failure of an instance.
+            # The boundary at which the failure of an instance is contained: the simulator must receive it.
             except Exception:  # noqa: BLE001
                 actions.append((instance, InstanceFault(traceback.format_exc(limit=-TRACEBACK_FRAMES))))
         return encode_actions(actions)
@@ -62,7 +63,7 @@
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
-    """The next frame; None where the input ends between frames. ``WireError``: it ends within one."""
+    """Reads the next frame; None if the input ends between frames. Raises ``WireError`` if it ends in one."""
     head = source.read(LENGTH_BYTES)
     if not head:
         return None
@@ -78,16 +79,16 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answers batches until the input ends; the exit code of the process."""
+    """Replies to batches until the input ends; returns the exit code of the process."""
     host = Host()
     batch_number = 0
     try:
         while (frame := read_frame(source)) is not None:
             batch_number += 1
-            sink.write(host.answer(frame))
+            sink.write(host.handle_batch(frame))
             sink.flush()
-    except WireError as problem:
-        print(f"puffinpost.simulator.host: batch {batch_number}: {problem}", file=sys.stderr)
+    except WireError as error:
+        print(f"puffinpost.simulator.host: batch {batch_number}: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
     return 0
 
--- a/puffinpost/simulator/settings_text.py
+++ b/puffinpost/simulator/settings_text.py
@@ -1,7 +1,7 @@
-"""Reads the platform's settings, by the paths of the simulator's settings text, into `Settings`.
+"""Converts the platform's settings, whose keys are the paths of the simulator's settings text, to `Settings`.
 
-The simulator's host gives it the text of one instance, `config.node` the flattened settings of a node. No
-other module knows the platform's keys.
+The simulator's host passes it the text of one instance, `config.node` the flattened settings of a node. No
+other module uses the platform's keys.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class _SettingsReader:
-    """Typed access to settings by path. ``InvalidSettingsError`` names what is missing or unreadable."""
+    """Typed access to settings by path. ``InvalidSettingsError`` names a missing or invalid path."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
@@ -48,7 +48,7 @@
         try:
             return int(raw)
         except ValueError:
-            value = self.number(path)  # a number such as 1e9, or an error that names the path
+            value = self.number(path)  # accepts a number such as 1e9, or raises an error that names the path
         if not math.isfinite(value):
             raise InvalidSettingsError(path, f"settings: {path} = {raw!r} is not a whole number")
         return int(value)
@@ -60,11 +60,11 @@
         return raw in ("true", "1")
 
     def names(self, path: str) -> list[str]:
-        return [part for part in self.values.get(path, "").split(",") if part]
+        return [item for item in self.values.get(path, "").split(",") if item]
 
     def numbers(self, path: str) -> list[float]:
         try:
-            numbers = [0.0 if part == "null" else float(part) for part in self.names(path)]
+            numbers = [0.0 if item == "null" else float(item) for item in self.names(path)]
         except ValueError:
             numbers = [math.nan]
         if not all(map(math.isfinite, numbers)):
@@ -75,26 +75,26 @@
 
 
 def _value_for(values: list[float], index: int) -> float:
-    """A list's value for an index; the last stands for all after it, and an empty list for 0."""
+    """Returns a list's value for an index: its last value past its end, and 0 if the list is empty."""
     if not values:
         return 0.0
     return values[index] if index < len(values) else values[-1]
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings of one instance, as lines of ``path=value``. Errors: as from `settings_of`."""
+    """Parses the settings of one instance, lines of ``path=value``. Raises the errors of `settings_of`."""
     values: dict[str, str] = {}
     for line in text.splitlines():
         path, separator, value = line.partition("=")
-        if separator and value.strip() != "null":  # null stands for an absent value
+        if separator and value.strip() != "null":  # null means that the value is absent
             values[path.strip()] = value.strip()
     return settings_of(values)
 
 
 def settings_of(values: dict[str, str]) -> Settings:
-    """The settings of one instance, by path.
+    """Converts the settings of one instance, which are given by path.
 
-    ``InvalidSettingsError`` names what is missing, unreadable or out of its range.
+    Raises ``InvalidSettingsError`` with the setting that is missing, invalid or out of range.
     """
     reader = _SettingsReader(values)
     message_objectives_ns = reader.numbers("FamilyInfo.MessageAimNs")
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -41,29 +41,29 @@
 
 def test_an_unreadable_setting_becomes_a_fault_that_names_it() -> None:
     text = SETTINGS.replace("Rules.ColdFrom=0.13", "Rules.ColdFrom=some").encode()
-    reply = simhost.Host().answer(frame(create(4, 1, text), tail=text))
+    reply = simhost.Host().handle_batch(frame(create(4, 1, text), tail=text))
     assert reply[8] == 100 and b"Rules.ColdFrom" in reply
 
 
 def test_a_failure_of_the_decisions_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     text = SETTINGS.encode()
     host = simhost.Host()
-    host.answer(frame(create(3, 1, text), tail=text))
+    host.handle_batch(frame(create(3, 1, text), tail=text))
 
     def broken(self: object, event: object, now_ns: int) -> list[object]:
         raise RuntimeError("boom")
 
     monkeypatch.setattr("puffinpost.balancing.balancer.Balancer.handle", broken)
-    reply = host.answer(frame(ARRIVAL))
+    reply = host.handle_batch(frame(ARRIVAL))
     assert reply[8] == 100 and b"boom" in reply
 
 
 def test_kill_and_create_in_one_batch_leaves_nothing_of_the_old() -> None:
     text = SETTINGS.encode()
     host = simhost.Host()
-    host.answer(frame(create(3, 1, text), tail=text))
+    host.handle_batch(frame(create(3, 1, text), tail=text))
     old = host.instances[3]
-    reply = host.answer(
+    reply = host.handle_batch(
         frame(ARRIVAL, struct.pack(">BH", event_decoder.RETIRE, 3), create(3, 2, text), tail=text)
     )
     assert host.instances[3] is not old
@@ -74,8 +74,8 @@
 def test_instances_do_not_change_each_other() -> None:
     text = SETTINGS.encode()
     alone, together = simhost.Host(), simhost.Host()
-    alone.answer(frame(create(3, 9, text), tail=text))
-    together.answer(frame(create(3, 9, text), create(5, 8, text), tail=text))
+    alone.handle_batch(frame(create(3, 9, text), tail=text))
+    together.handle_batch(frame(create(3, 9, text), create(5, 8, text), tail=text))
     other = ARRIVAL[:1] + struct.pack(">H", 5) + ARRIVAL[3:]
-    together.answer(frame(other))
-    assert alone.answer(frame(ARRIVAL)) == together.answer(frame(ARRIVAL))
+    together.handle_batch(frame(other))
+    assert alone.handle_batch(frame(ARRIVAL)) == together.handle_batch(frame(ARRIVAL))
