--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -16,10 +16,10 @@
 from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
 
 
-def named(node: NodeProcess, peer: SocketPeer, separator: str = " reason=") -> str:
+def named(node: NodeProcess, peer: SocketPeer) -> str:
     """Returns the reason that the log gives for rejecting this peer's input."""
     host, port = peer.socket.getsockname()
-    address = f"{host}:{port}{separator}"
+    address = f"{host}:{port} reason="
     node.wait_for_log(address)
     return node.log_path.read_text().split(address)[1].split("\n")[0]
 
@@ -58,7 +58,7 @@
     front = XmppDeployment(deployment)
     peer = front.connect(STREAM_HEADER + b"<a></b>")
     peer.read_until(b"</stream:stream>")
-    assert named(front.node, peer, ": ").startswith("not-well-formed")
+    assert named(front.node, peer).startswith("not-well-formed")
     assert front.node.read_counters()["xmpp_bad_streams"] == 1 and front.node.process.poll() is None
 
 
@@ -77,7 +77,7 @@
     peer, _ = front.connect_and_bind()
     peer.send(open_request(2000, "other"))
     assert b"<bad-request" in peer.read_until(b"</iq>")
-    assert named(front.node, peer, ": ") and front.node.read_counters()["bad_lines"] == 1
+    assert named(front.node, peer) and front.node.read_counters()["bad_lines"] == 1
 
 
 @pytest.mark.parametrize("stands", [False, True])
