--- a/puffinpost/emulator/stand_ins.py
+++ b/puffinpost/emulator/stand_ins.py
@@ -102,23 +102,23 @@
         self.transcriber = transcriber
         self.writer = writer
 
-    def stream_write(self, data: bytes) -> None:
+    def write_data(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def stream_secure(self) -> None:
+    def start_tls(self) -> None:
         raise AssertionError("no TLS is offered")
 
-    def stream_ready(self) -> None:
+    def on_resource_bound(self) -> None:
         pass
 
-    def stream_managed(self, element: xmpp.Element) -> None:
+    def on_management_element(self, element: xmpp.Element) -> None:
         pass
 
-    def stream_over(self, clean: bool) -> None:
+    def on_stream_ended(self, clean: bool) -> None:
         del clean  # the connection is closed either way
         self.writer.close()
 
-    def stream_stanza(self, stanza: xmpp.Stanza) -> None:
+    def on_stanza(self, stanza: xmpp.Stanza) -> None:
         element = stanza.element
         if element.name == "message":
             self.writer.write(xmpp.readdress(stanza.raw, {}, {}))
--- a/puffinpost/frontends/xmpp/connection.py
+++ b/puffinpost/frontends/xmpp/connection.py
@@ -80,17 +80,17 @@
 
     # StreamHandler: called by the stream.
 
-    def stream_write(self, data: bytes) -> None:
+    def write_data(self, data: bytes) -> None:
         """Writes bytes of the stream."""
         self.connection.write(data)
 
-    def stream_secure(self) -> None:
+    def start_tls(self) -> None:
         """Starts TLS."""
         context = self.frontend.config.server_tls
         assert context is not None  # STARTTLS is offered only with a certificate
         self.connection.start_tls(TlsUpgrade(context, True), self.stream.on_tls_established)
 
-    def stream_ready(self) -> None:
+    def on_resource_bound(self) -> None:
         """Starts the session, because a resource is bound.
 
         A client may reconnect before this node detects that its earlier connection is lost. Then the earlier
@@ -105,18 +105,18 @@
         self._header_received = True
         self.frontend.admission.mark_idle(self)
 
-    def stream_over(self, clean: bool) -> None:
+    def on_stream_ended(self, clean: bool) -> None:
         """The stream has ended and its last bytes are written: closes the connection."""
         del clean
         self._release(False, can_resume=self._is_handed_over)
         self.connection.close()
 
-    def stream_stanza(self, stanza: xmpp.Stanza) -> None:
+    def on_stanza(self, stanza: xmpp.Stanza) -> None:
         """Passes a stanza to the session."""
         if self.session is not None:
             self.session.on_stanza(stanza)
 
-    def stream_managed(self, element: xmpp.Element) -> None:
+    def on_management_element(self, element: xmpp.Element) -> None:
         """Handles an element of stream management (XEP-0198): enable, resume, request or answer."""
         session = self.session
         match element.name:
--- a/puffinpost/frontends/xmpp/upstream.py
+++ b/puffinpost/frontends/xmpp/upstream.py
@@ -67,14 +67,14 @@
 
     def forward(self, raw: bytes) -> None:
         """Forwards a message of the client, in which only the addresses are changed."""
-        self.stream_write(raw)
+        self.write_data(raw)
         self.coordinator.lines_forwarded(self.attempt.exchange, len(raw))
 
     def close(self) -> None:
         """Closes the connection; if a resource is bound, closes the stream first."""
         bound = bool(self.stream.bound_jid)
         if not self.stream.ended and bound:
-            self.stream_write(xmpp.STREAM_CLOSE)
+            self.write_data(xmpp.STREAM_CLOSE)
         self.stream.ended = True
         if self.connection is not None and bound:
             self.connection.close()
@@ -98,19 +98,19 @@
 
     # StreamHandler: called by the stream.
 
-    def stream_write(self, data: bytes) -> None:
+    def write_data(self, data: bytes) -> None:
         """Writes bytes of the stream."""
         if self.connection is not None:
             self.connection.write(data)
 
-    def stream_secure(self) -> None:
+    def start_tls(self) -> None:
         """Starts TLS."""
         context = self.config.client_tls
         assert context is not None and self.connection is not None
         upgrade = TlsUpgrade(context, False, self.config.client.domain)
         self.connection.start_tls(upgrade, self.stream.on_tls_established)
 
-    def stream_ready(self) -> None:
+    def on_resource_bound(self) -> None:
         """Requests the session, because a resource is bound, if the attempt may still be started."""
         if not self.coordinator.can_write(self.attempt):
             self._complete(AttemptResult.SUPERSEDED, False)
@@ -118,10 +118,10 @@
         remaining_ms = str(self.coordinator.remaining_ms(self.attempt))
         inner = xmpp.replace_attribute(self.open_element, b"wait", remaining_ms)
         attributes = {"type": "set", "id": self.iq_id, "to": self.config.client.domain}
-        self.stream_write(xmpp.stanza("iq", attributes, inner))
+        self.write_data(xmpp.stanza("iq", attributes, inner))
         self.coordinator.request_written(self.attempt)
 
-    def stream_stanza(self, stanza: xmpp.Stanza) -> None:
+    def on_stanza(self, stanza: xmpp.Stanza) -> None:
         """Handles a stanza of the endpoint."""
         if self.attempt.completed:
             return
@@ -136,10 +136,10 @@
         elif element.name == "message" and established:
             self._on_message(stanza)
 
-    def stream_managed(self, element: xmpp.Element) -> None:
+    def on_management_element(self, element: xmpp.Element) -> None:
         """Ignores stream management: this node never enables it on a stream to an endpoint."""
 
-    def stream_over(self, clean: bool) -> None:
+    def on_stream_ended(self, clean: bool) -> None:
         """The endpoint has closed its stream."""
         del clean
         self._complete(self._closing_result(), False)
@@ -159,7 +159,7 @@
             "id": element.attributes.get("id", ""),
             "to": self.config.client.domain,
         }
-        self.stream_write(xmpp.stanza("iq", attributes, inner))
+        self.write_data(xmpp.stanza("iq", attributes, inner))
 
     def _on_response(self, stanza: xmpp.Stanza, iq_type: str) -> None:
         if iq_type == "result":
--- a/puffinpost/protocol/xmpp/client_stream.py
+++ b/puffinpost/protocol/xmpp/client_stream.py
@@ -40,7 +40,7 @@
 
     def begin(self) -> None:
         """Opens the stream."""
-        self.handler.stream_write(stream_header({"to": self.options.domain, "version": "1.0"}))
+        self.handler.write_data(stream_header({"to": self.options.domain, "version": "1.0"}))
 
     def on_tls_established(self, _certificate_name: str = "") -> None:
         """Restarts the stream over TLS."""
@@ -61,7 +61,7 @@
                 self._on_features(element)
             case namespaces.TLS, "proceed" if self.options.tls and not self.secure:
                 self.upgrading = True
-                self.handler.stream_secure()
+                self.handler.start_tls()
             case namespaces.SASL, "challenge" if not self._is_authenticated:
                 self._send_sasl("response")
             case namespaces.SASL, "success" if not self._is_authenticated:
@@ -71,7 +71,7 @@
             case namespaces.CLIENT, "iq" if self._is_authenticated and not self.bound_jid:
                 self._on_bound(element)
             case namespaces.CLIENT, _ if self.bound_jid:
-                self.handler.stream_stanza(event)
+                self.handler.on_stanza(event)
             case _:
                 self.fail("undefined-condition", f"{element.name} was not expected")
 
@@ -84,13 +84,13 @@
             self._authenticate(features)
         else:
             bind = f"<bind xmlns='{BIND}'/>".encode()
-            self.handler.stream_write(stanza("iq", {"type": "set", "id": "bind"}, bind))
+            self.handler.write_data(stanza("iq", {"type": "set", "id": "bind"}, bind))
 
     def _request_tls(self, features: Element) -> None:
         if features.child(TLS, "starttls") is None:
             self.fail("policy-violation", "STARTTLS is needed and not offered")
         else:
-            self.handler.stream_write(f"<starttls xmlns='{TLS}'/>".encode())
+            self.handler.write_data(f"<starttls xmlns='{TLS}'/>".encode())
 
     def _authenticate(self, features: Element) -> None:
         offered = features.child(SASL, "mechanisms")
@@ -107,7 +107,7 @@
         message = f"\0{options.username}\0{options.password}" if options.mechanism == "PLAIN" else ""
         encoded = base64.b64encode(message.encode()).decode() or EMPTY_RESPONSE
         mechanism = f" mechanism='{options.mechanism}'" if name == "auth" else ""
-        self.handler.stream_write(f"<{name} xmlns='{SASL}'{mechanism}>{encoded}</{name}>".encode())
+        self.handler.write_data(f"<{name} xmlns='{SASL}'{mechanism}>{encoded}</{name}>".encode())
 
     def _on_bound(self, element: Element) -> None:
         bind = element.child(BIND, "bind")
@@ -116,4 +116,4 @@
             self.fail("undefined-condition", "no resource was bound")
             return
         self.bound_jid = jid.text
-        self.handler.stream_ready()
+        self.handler.on_resource_bound()
--- a/puffinpost/protocol/xmpp/negotiation.py
+++ b/puffinpost/protocol/xmpp/negotiation.py
@@ -23,22 +23,22 @@
 class StreamHandler(Protocol):
     """Receives a stream's output and events."""
 
-    def stream_write(self, data: bytes) -> None:
+    def write_data(self, data: bytes) -> None:
         """Writes bytes to the peer."""
 
-    def stream_secure(self) -> None:
+    def start_tls(self) -> None:
         """Starts TLS once all written bytes are sent, then calls ``on_tls_established``."""
 
-    def stream_ready(self) -> None:
+    def on_resource_bound(self) -> None:
         """A resource is bound, so stanzas may be exchanged."""
 
-    def stream_stanza(self, stanza: Stanza) -> None:
-        """A stanza was received after ``stream_ready``."""
+    def on_stanza(self, stanza: Stanza) -> None:
+        """A stanza was received after ``on_resource_bound``."""
 
-    def stream_managed(self, element: Element) -> None:
+    def on_management_element(self, element: Element) -> None:
         """An element of stream management (XEP-0198) was received in a state that allows it."""
 
-    def stream_over(self, clean: bool) -> None:
+    def on_stream_ended(self, clean: bool) -> None:
         """The stream has ended and its closing tag is written; ``clean`` means that no error occurred."""
 
 
@@ -86,25 +86,25 @@
         self.parser = StreamParser(self.max_stanza_bytes)
 
     def _on_closed(self) -> None:
-        self.handler.stream_write(STREAM_CLOSE)
+        self.handler.write_data(STREAM_CLOSE)
         self._end(clean=True)
 
     def close(self) -> None:
         """Closes the stream from this end."""
         if not self.ended:
-            self.handler.stream_write(STREAM_CLOSE)
+            self.handler.write_data(STREAM_CLOSE)
             self._end(clean=True)
 
     def fail(self, condition: str, text: str = "") -> None:
         """Ends the stream with an error (RFC 6120, 4.9)."""
         if not self.ended:
             self.failure = f"{condition} {text}".rstrip()
-            self.handler.stream_write(stream_error(condition, text))
+            self.handler.write_data(stream_error(condition, text))
             self._end(clean=False)
 
     def _end(self, *, clean: bool) -> None:
         self.ended = True
-        self.handler.stream_over(clean)
+        self.handler.on_stream_ended(clean)
 
     def _on_opened(self, event: StreamOpened) -> None:
         raise NotImplementedError
--- a/puffinpost/protocol/xmpp/server_stream.py
+++ b/puffinpost/protocol/xmpp/server_stream.py
@@ -69,7 +69,7 @@
     def fail_handled_count(self, handled: int, sent: int, text: str) -> None:
         """Ends the stream of a client that acknowledges more stanzas than were sent (XEP-0198, 4)."""
         if not self.ended:
-            self.handler.stream_write(handled_count_too_high(handled, sent, text))
+            self.handler.write_data(handled_count_too_high(handled, sent, text))
             self._end(clean=False)
 
     def _on_opened(self, event: StreamOpened) -> None:
@@ -84,7 +84,7 @@
             self.fail("unsupported-version", "version 1.0 is spoken here")
         else:
             # If the stream is restarted during a session, the resource remains bound.
-            self.handler.stream_write(self._features())
+            self.handler.write_data(self._features())
 
     def _send_header(self) -> None:
         self.header_sent = True
@@ -94,7 +94,7 @@
             "version": "1.0",
             "xml:lang": "en",
         }
-        self.handler.stream_write(stream_header(attributes))
+        self.handler.write_data(stream_header(attributes))
 
     def _features(self) -> bytes:
         features = self._session_features() if self.user else self._negotiation_features()
@@ -133,7 +133,7 @@
         elif not self._is_bound_address(element.attributes.get("from", self.bound_jid)):
             self.fail("invalid-from", "from is not the address that is bound here")
         elif self.bound_jid and element.child(BIND, "bind") is None:
-            self.handler.stream_stanza(event)
+            self.handler.on_stanza(event)
         else:
             self._bind(element)
 
@@ -156,17 +156,17 @@
 
     def _start_tls(self) -> None:
         if self.options.tls and not self.secure:
-            self.handler.stream_write(f"<proceed xmlns='{TLS}'/>".encode())
+            self.handler.write_data(f"<proceed xmlns='{TLS}'/>".encode())
             self.upgrading = True
-            self.handler.stream_secure()
+            self.handler.start_tls()
         else:
-            self.handler.stream_write(f"<failure xmlns='{TLS}'/>".encode() + STREAM_CLOSE)
+            self.handler.write_data(f"<failure xmlns='{TLS}'/>".encode() + STREAM_CLOSE)
             self._end(clean=False)
 
     def _on_sasl_result(self, result: SaslResult) -> None:
         if isinstance(result, SaslSuccess):
             self.user = result.user
-        self.handler.stream_write(result.encode())
+        self.handler.write_data(result.encode())
         if isinstance(result, SaslSuccess):
             self._restart()
         elif isinstance(result, SaslFailure):
@@ -179,9 +179,9 @@
         if element.name not in ("enable", "resume", "r", "a"):
             self.fail("unsupported-stanza-type", element.name)
         elif (element.name == "resume") == bool(self.bound_jid):
-            self.handler.stream_write(management_failed("unexpected-request"))
+            self.handler.write_data(management_failed("unexpected-request"))
         else:
-            self.handler.stream_managed(element)
+            self.handler.on_management_element(element)
 
     def _bind(self, element: Element) -> None:
         bind = element.child(BIND, "bind") if element.name == "iq" else None
@@ -193,12 +193,12 @@
         resource = requested.text.strip() if requested is not None else ""
         if len(resource.encode()) > MAX_RESOURCE_BYTES or not resource.isprintable():
             error = stanza_error("modify", "bad-request")
-            self.handler.stream_write(stanza("iq", {"type": "error", "id": iq_id}, error))
+            self.handler.write_data(stanza("iq", {"type": "error", "id": iq_id}, error))
             return
         is_rebind = bool(self.bound_jid)
         if not is_rebind:
             self.bound_jid = f"{self.user}@{self.options.domain}/{resource or secrets.token_hex(6)}"
         result = f"<bind xmlns='{BIND}'><jid>{escape(self.bound_jid)}</jid></bind>".encode()
-        self.handler.stream_write(stanza("iq", {"type": "result", "id": iq_id}, result))
+        self.handler.write_data(stanza("iq", {"type": "result", "id": iq_id}, result))
         if not is_rebind:
-            self.handler.stream_ready()
+            self.handler.on_resource_bound()
