--- a/puffinpost/protocol/http.py
+++ b/puffinpost/protocol/http.py
@@ -107,23 +107,23 @@
         return True
 
     def _next_line(self) -> bytes | None:
-        at = self._buffer.find(b"\n")
-        if at < 0:
+        line_end = self._buffer.find(b"\n")
+        if line_end < 0:
             if len(self._buffer) > MAX_HEAD_BYTES:
                 raise HttpError("a line is too long")
             return None
-        line = bytes(self._buffer[:at]).rstrip(b"\r")
-        del self._buffer[: at + 1]
+        line = bytes(self._buffer[:line_end]).rstrip(b"\r")
+        del self._buffer[: line_end + 1]
         return line
 
     def _head(self) -> None:
-        at = self._buffer.find(b"\r\n\r\n")
-        if at > self.max_head_bytes or (at < 0 and len(self._buffer) > self.max_head_bytes):
+        head_end = self._buffer.find(b"\r\n\r\n")
+        if head_end > self.max_head_bytes or (head_end < 0 and len(self._buffer) > self.max_head_bytes):
             raise HttpError("the head is too long", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
-        if at < 0:
+        if head_end < 0:
             return
-        head = bytes(self._buffer[:at]).split(b"\r\n")
-        del self._buffer[: at + 4]
+        head = bytes(self._buffer[:head_end]).split(b"\r\n")
+        del self._buffer[: head_end + 4]
         self._parse_first_line(head[0])
         fields: dict[bytes, bytes] = {}
         for line in head[1:]:
@@ -245,10 +245,10 @@
         self._path = unquote(self._path)
 
     def _on_headers(self, fields: dict[bytes, bytes]) -> None:
-        coding = fields.get(b"transfer-encoding")
-        if coding is not None and b"content-length" in fields:
+        transfer_encoding = fields.get(b"transfer-encoding")
+        if transfer_encoding is not None and b"content-length" in fields:
             raise HttpError("both Transfer-Encoding and Content-Length")
-        if coding is not None and coding.lower() != b"chunked":
-            raise HttpError(f"Transfer-Encoding {coding[:40]!r}", HTTPStatus.NOT_IMPLEMENTED)
+        if transfer_encoding is not None and transfer_encoding.lower() != b"chunked":
+            raise HttpError(f"Transfer-Encoding {transfer_encoding[:40]!r}", HTTPStatus.NOT_IMPLEMENTED)
         if not self._set_body_framing(fields):
             self._state = "done"
--- a/puffinpost/protocol/lines.py
+++ b/puffinpost/protocol/lines.py
@@ -99,10 +99,10 @@
         (name if name in FIELDS_WITH_NAMES else name + value).isascii() for name, value in fields.items()
     ):
         raise LineError("not plain characters, but for the names of a class and a tenant")
-    # ``d`` may also occur in another name or value, so it is only searched after the third space, where the
+    # ``d`` may also occur in another name or value, so the search starts after the third space, where the
     # list starts.
-    list_at = line.index(field_list, len(command) + len(request_id) + len(key) + 3)
-    wait_at = list_at if field_list.startswith(b"d=") else line.index(b",d=", list_at) + 1
+    list_start = line.index(field_list, len(command) + len(request_id) + len(key) + 3)
+    wait_start = list_start if field_list.startswith(b"d=") else line.index(b",d=", list_start) + 1
     wait = fields[b"d"]
     expected_load = _parse_integer(fields[b"h"], "h") if b"h" in fields else None
     return OpenRequest(
@@ -116,8 +116,8 @@
         is_retry=fields.get(b"r") == b"1",
         is_reconnect=fields.get(b"again") == b"1",
         requested_endpoint=fields[b"at"].decode("ascii", "replace") if b"at" in fields else None,
-        before_wait=line[: wait_at + 2],
-        after_wait=line[wait_at + 2 + len(wait) :],
+        before_wait=line[: wait_start + 2],
+        after_wait=line[wait_start + 2 + len(wait) :],
     )
 
 
--- a/puffinpost/protocol/mqtt/encoder.py
+++ b/puffinpost/protocol/mqtt/encoder.py
@@ -25,7 +25,7 @@
 
 
 def encode(packet: Packet, version: int = V5) -> bytes:
-    """Encodes a packet. In 3.1.1 properties are omitted, and reason codes that it does not define."""
+    """Encodes a packet. In 3.1.1 properties, and reason codes that it does not define, are omitted."""
     is_v5 = version == V5
     properties = _properties(packet.properties) if is_v5 and not isinstance(packet, Ping) else b""
     match packet:
--- a/puffinpost/protocol/xmpp/stream_parser.py
+++ b/puffinpost/protocol/xmpp/stream_parser.py
@@ -94,7 +94,7 @@
         self._open_elements: list[Element] = []
         self._ended = False
         self._start_tag = _StartTag(offset, is_empty_element=False)  # the latest one at a depth below 2
-        self._restart_at: int | None = None  # the offset of a second stream header
+        self._restart_offset: int | None = None  # the offset of a second stream header
         self._buffer_start = offset  # the end of the last event
         self._buffer = bytearray()  # the bytes since the last event
         self._prefixes: dict[str, str] = {}
@@ -127,8 +127,8 @@
             self._buffer += rest
             self._events = events
             self._parse(rest)
-            if self._restart_at is not None:
-                rest = self._restart(self._restart_at)
+            if self._restart_offset is not None:
+                rest = self._restart(self._restart_offset)
             else:
                 self._drop_whitespace()
                 self._check_buffer_size()
@@ -146,8 +146,8 @@
             self._fault(error.condition, str(error))
         except expat.ExpatError as error:
             if error.code == _MISPLACED_DECLARATION and len(self._open_elements) == 1:
-                self._restart_at = self._stream_start + self._expat.ErrorByteIndex
-            elif self._restart_at is None:
+                self._restart_offset = self._stream_start + self._expat.ErrorByteIndex
+            elif self._restart_offset is None:
                 self._fault("not-well-formed", f"XML: {error}")
 
     def _restart(self, offset: int) -> bytes:
@@ -178,14 +178,14 @@
             self._prefixes[prefix or ""] = uri or ""
 
     def _on_start(self, tag: str, attributes: dict[str, str]) -> None:
-        if self._restart_at is not None or self._ended:
+        if self._restart_offset is not None or self._ended:
             return
         namespace, _, name = tag.rpartition(" ")
         depth = len(self._open_elements)
         if depth >= MAX_DEPTH:
             raise _StreamFaultError("policy-violation", f"more than {MAX_DEPTH} elements inside one another")
         if depth == 1 and (namespace, name) == (STREAM, "stream"):
-            self._restart_at = self._stream_start + self._expat.CurrentByteIndex
+            self._restart_offset = self._stream_start + self._expat.CurrentByteIndex
             return
         element = Element(namespace, name, attributes)
         self._open_elements.append(element)
@@ -207,7 +207,7 @@
         self._events.append(StreamOpened(element.attributes, self._prefixes.get("", ""), prefixes, end))
 
     def _on_end(self, _tag: str) -> None:
-        if self._restart_at is not None or self._ended:
+        if self._restart_offset is not None or self._ended:
             return
         element = self._open_elements.pop()
         if len(self._open_elements) > 1:
@@ -225,7 +225,7 @@
         self._events.append(StreamClosed(end))
 
     def _on_text(self, text: str) -> None:
-        if self._restart_at is not None or self._ended or not self._open_elements:
+        if self._restart_offset is not None or self._ended or not self._open_elements:
             return
         if len(self._open_elements) > 1:
             self._open_elements[-1].text += text
--- a/puffinpost/simulator/event_decoder.py
+++ b/puffinpost/simulator/event_decoder.py
@@ -95,10 +95,10 @@
         length, count, now_ns = FRAME_HEADER.unpack_from(frame)
         if length != len(frame):
             raise WireError(f"byte 0: length {length}, but the frame holds {len(frame)} bytes")
-        tail_at = FRAME_HEADER.size + count * EVENT_BYTES
-        if tail_at > length:
-            raise WireError(f"byte 4: {count} records need {tail_at} bytes, but the frame holds {length}")
-        tail = memoryview(frame)[tail_at:]
+        tail_start = FRAME_HEADER.size + count * EVENT_BYTES
+        if tail_start > length:
+            raise WireError(f"byte 4: {count} records need {tail_start} bytes, but the frame holds {length}")
+        tail = memoryview(frame)[tail_start:]
         items: list[InstanceItem] = []
         for number in range(count):
             offset = FRAME_HEADER.size + number * EVENT_BYTES
