--- a/tests/test_cluster_off.py
+++ b/tests/test_cluster_off.py
@@ -1,4 +1,4 @@
-"""Where ``[cluster]`` is off a node pays nothing for it; where it is on, its file is checked, and its CLI."""
+"""Without ``[cluster]`` a node loads no cluster code; with it, its table is validated and its CLI works."""
 
 from __future__ import annotations
 
@@ -28,9 +28,11 @@
 )
 
 
-def test_a_node_without_a_cluster_loads_none_of_it_and_has_one_thread(deployment: Deployment) -> None:
-    told = "import sys, puffinpost.runtime.node_process, puffinpost.config; print(*sys.modules)"
-    loaded = subprocess.check_output([sys.executable, "-c", told], cwd=ROOT, text=True).split()
+def test_a_node_without_a_cluster_imports_no_cluster_packages_and_has_one_thread(
+    deployment: Deployment,
+) -> None:
+    program = "import sys, puffinpost.runtime.node_process, puffinpost.config; print(*sys.modules)"
+    loaded = subprocess.check_output([sys.executable, "-c", program], cwd=ROOT, text=True).split()
     assert "puffinpost.proxy.coordinator" in loaded and not [
         name for name in loaded if name.startswith(CLUSTER_PACKAGES)
     ]
@@ -38,27 +40,27 @@
     assert len(list(Path(f"/proc/{node.process.pid}/task").iterdir())) == 1
 
 
-def test_consensus_without_replication_loads_none_of_it(tmp_path: Path) -> None:
-    told = "import sys, puffinpost.runtime.cluster_state; print(*sys.modules)"
-    loaded = subprocess.check_output([sys.executable, "-c", told], cwd=ROOT, text=True).split()
+def test_consensus_without_replication_imports_no_replication_packages(tmp_path: Path) -> None:
+    program = "import sys, puffinpost.runtime.cluster_state; print(*sys.modules)"
+    loaded = subprocess.check_output([sys.executable, "-c", program], cwd=ROOT, text=True).split()
     assert "puffinpost.cluster.consensus_driver" in loaded
     assert not [name for name in loaded if name.startswith(("puffinpost.replication", "xxhash"))]
 
     async def run() -> None:
         cluster = ProcessCluster(tmp_path, 2, 1, ClusterOptions(replication_config="on = true"))
         cluster.nodes.clear()
-        try:  # agreement goes on, and nothing is said to the one that has it off
-            plain = cluster.operator_config
+        try:  # consensus works, and n0 receives no replication messages from n1, which has it off
+            original = cluster.operator_config
 
-            def half(name: str, folder: Path) -> str:
-                text = plain(name, folder)
+            def without_replication_on_n1(name: str, folder: Path) -> str:
+                text = original(name, folder)
                 return text.replace("on = true", "on = false") if name == "n1" else text
 
-            cluster.operator_config = half  # type: ignore[method-assign]
+            cluster.operator_config = without_replication_on_n1  # type: ignore[method-assign]
             await cluster.start(per_s=5.0)
             assert (await cluster.propose())["outcome"] == "accepted"
-            told = await cluster.replica_status()
-            assert list(told) == ["n0"] and told["n0"]["neighbours"]["n1"]["heard_ms"] is None
+            status = await cluster.replica_status()
+            assert list(status) == ["n0"] and status["n0"]["neighbours"]["n1"]["heard_ms"] is None
             assert await cluster.check() == []
         finally:
             await cluster.close()
@@ -66,7 +68,7 @@
     asyncio.run(run())
 
 
-def table(**more: object) -> schema.Cluster:
+def cluster_table(**overrides: object) -> schema.Cluster:
     members = {name: f"127.0.0.1:{7000 + at}" for at, name in enumerate(("n0", "n1", "n2", "n3"))}
     return schema.edge_of(
         {
@@ -75,14 +77,14 @@
                 "members": members,
                 "voters": ["n0", "n1", "n2"],
                 "folder": "/tmp/x",
-                **more,
+                **overrides,
             }
         }
     ).cluster
 
 
 @pytest.mark.parametrize(
-    ("more", "key"),
+    ("overrides", "key"),
     [
         ({"voters": ["n0", "n1"]}, "cluster.voters"),
         ({"voters": ["n0", "n1", "nx"]}, "cluster.voters"),
@@ -96,29 +98,31 @@
         ({"on_lost": "hope"}, "cluster.on_lost"),
     ],
 )
-def test_an_invalid_table_is_rejected_with_its_key(more: dict[str, object], key: str) -> None:
+def test_an_invalid_cluster_table_is_rejected_with_its_key(overrides: dict[str, object], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
-        for_node(cluster_config_of(table(**more)), "n0")
+        for_node(cluster_config_of(cluster_table(**overrides)), "n0")
 
 
 def test_a_follower_needs_no_folder() -> None:
-    made = for_node(cluster_config_of(table(folder="")), "n3")
+    config = for_node(cluster_config_of(cluster_table(folder="")), "n3")
     assert (
-        made.folder is None and made.listen == ("127.0.0.1", 7003) and made.member_config.sources()[0] == "n0"
+        config.folder is None
+        and config.listen == ("127.0.0.1", 7003)
+        and config.member_config.sources()[0] == "n0"
     )
 
 
-def test_one_command_starts_three_nodes() -> None:
-    told = CliRunner().invoke(puffinpost, ["try", "--nodes", "3", "--rounds", "1"])
-    assert told.exit_code == 0 and "n0, n1, n2 vote" in told.output and "nodes heard" in told.output
+def test_the_try_command_starts_three_nodes() -> None:
+    result = CliRunner().invoke(puffinpost, ["try", "--nodes", "3", "--rounds", "1"])
+    assert result.exit_code == 0 and "n0, n1, n2 vote" in result.output and "nodes heard" in result.output
 
 
-def test_a_scenario_is_played_and_its_history_is_written(tmp_path: Path) -> None:
+def test_mesh_run_plays_a_scenario_and_writes_its_history(tmp_path: Path) -> None:
     (tmp_path / "calm.toml").write_text("nodes = 3\n[[step]]\nat_s = 0\ndo = 'propose'\n")
-    kept = tmp_path / "history"
-    words = ["mesh", "run", str(tmp_path / "calm.toml"), "--history", str(kept)]
-    told = CliRunner().invoke(puffinpost, words)
-    assert told.exit_code == 0 and "all promises kept" in told.output and kept.stat().st_size > 1000
+    history = tmp_path / "history"
+    arguments = ["mesh", "run", str(tmp_path / "calm.toml"), "--history", str(history)]
+    result = CliRunner().invoke(puffinpost, arguments)
+    assert result.exit_code == 0 and "all promises kept" in result.output and history.stat().st_size > 1000
     (tmp_path / "bad.toml").write_text("nodes = 'many'")
     assert CliRunner().invoke(puffinpost, ["mesh", "run", str(tmp_path / "bad.toml")]).exit_code == 2
 
@@ -132,17 +136,19 @@
             leader = await cluster.leader()
             environ = {"GW_EDGE": str(cluster.nodes[leader].folder / "edge.toml"), "GW_NAME": leader}
 
-            async def call(*words: str) -> tuple[int, str]:
-                told = await asyncio.to_thread(runner.invoke, puffinpost, ["settings", *words], env=environ)
-                return told.exit_code, told.output
+            async def call(*arguments: str) -> tuple[int, str]:
+                result = await asyncio.to_thread(
+                    runner.invoke, puffinpost, ["settings", *arguments], env=environ
+                )
+                return result.exit_code, result.output
 
-            first, second, bad = (tmp_path / name for name in ("1.toml", "2.json", "3.toml"))
+            first, second, invalid = (tmp_path / name for name in ("1.toml", "2.json", "3.toml"))
             first.write_text("OverShareWorth = 0.5\n")
             second.write_text('{"OverShareWorth": 0.25}')
-            bad.write_text("Me = 4\n")
+            invalid.write_text("Me = 4\n")
             assert (await call("propose", str(first), "--why", "less"))[0] == 0
             assert (await call("propose", str(second), "--why", "still less"))[0] == 0
-            code, text = await call("propose", str(bad), "--why", "no")
+            code, text = await call("propose", str(invalid), "--why", "no")
             assert code == 1 and "settings.Me" in text
             text = (await call("status"))[1]
             assert "still less" in text and "3 nodes heard" in text and "lease" in text
