--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The impaired link: its decisions, and the proxy that applies them."""
+"""Tests the link impairment: its decisions, and the proxy that applies them."""
 
 from __future__ import annotations
 
@@ -19,31 +19,33 @@
 from puffinpost.emulator.link_proxy import LinkProxy
 from puffinpost.emulator.local_deployment import free_port
 
-Talk = Callable[[LinkProxy, int, list[asyncio.StreamWriter]], Awaitable[None]]
+ClientScript = Callable[[LinkProxy, int, list[asyncio.StreamWriter]], Awaitable[None]]
 
 
 def test_a_link_direction_keeps_order_and_the_same_seed_gives_the_same_delays() -> None:
     profile = LinkProfile(delay_s=0.1, jitter_s=0.05, stall_probability=0.2, stall_s=1.0)
-    times = [LinkDirection(profile, "x").departure_time(0.0, 10) for _ in range(2)]
-    assert times[0] == times[1]
+    departures = [LinkDirection(profile, "x").departure_time(0.0, 10) for _ in range(2)]
+    assert departures[0] == departures[1]
     direction, other = LinkDirection(profile, "x"), LinkDirection(profile, "y")
-    left = [direction.departure_time(number * 0.01, 10) for number in range(500)]
-    assert left == sorted(left) and left != [other.departure_time(number * 0.01, 10) for number in range(500)]
-    plain = LinkDirection(LinkProfile(delay_s=0.1, jitter_s=0.05), "x")
-    delays = [plain.departure_time(float(number), 10) - number for number in range(500)]
+    spaced_departures = [direction.departure_time(number * 0.01, 10) for number in range(500)]
+    assert spaced_departures == sorted(spaced_departures) and spaced_departures != [
+        other.departure_time(number * 0.01, 10) for number in range(500)
+    ]
+    jittered = LinkDirection(LinkProfile(delay_s=0.1, jitter_s=0.05), "x")
+    delays = [jittered.departure_time(float(number), 10) - number for number in range(500)]
     assert 0.1 <= min(delays) < 0.105 and 0.145 < max(delays) <= 0.15
-    stalls = LinkDirection(LinkProfile(stall_probability=0.2, stall_s=0.5), "x")
-    held = sum(stalls.departure_time(float(number), 10) - number > 0 for number in range(1000))
-    assert 150 < held < 250
+    stalling = LinkDirection(LinkProfile(stall_probability=0.2, stall_s=0.5), "x")
+    stalled = sum(stalling.departure_time(float(number), 10) - number > 0 for number in range(1000))
+    assert 150 < stalled < 250
 
 
 def test_bandwidth_is_limited_and_unused_bandwidth_is_not_saved() -> None:
     direction = LinkDirection(LinkProfile(bytes_per_s=1000.0), "x")
     assert [direction.departure_time(0.0, 500) for _ in range(4)] == [0.5, 1.0, 1.5, 2.0]
-    assert direction.departure_time(10.0, 500) == 10.5  # what it did not carry meanwhile is not saved up
+    assert direction.departure_time(10.0, 500) == 10.5  # bandwidth unused in the meantime is not saved up
 
 
-def test_a_reset_trigger_allows_exactly_its_bytes() -> None:
+def test_a_reset_trigger_allows_exactly_its_byte_limit() -> None:
     trigger = ResetTrigger(LinkProfile(reset_after_bytes=100, reset_after_s=2.0), 5.0)
     assert (trigger.allow(60), trigger.exhausted, trigger.allow(60), trigger.reset_at) == (60, False, 40, 7.0)
     exact = ResetTrigger(LinkProfile(reset_after_bytes=100), 0.0)
@@ -62,19 +64,19 @@
     ]
     assert outages.next_outage_at(100.0) == 101.0 and outages.next_outage_at(102.0) is None
     assert parse_outage("2+0.5") == (2.0, 0.5)
-    for wrong in ("2", "2+", "-1+1", "1+0", "a+b"):
+    for invalid in ("2", "2+", "-1+1", "1+0", "a+b"):
         with pytest.raises(ValueError, match=r"BEGIN|could not convert"):
-            parse_outage(wrong)
+            parse_outage(invalid)
 
 
-def play(profile: LinkProfile, talk: Talk) -> None:
-    """A proxy before a server that echoes."""
+def run_with_proxy(profile: LinkProfile, client_script: ClientScript) -> None:
+    """Runs a client script against a proxy in front of an echo server."""
 
-    async def all_of_it() -> None:
-        far: list[asyncio.StreamWriter] = []
+    async def run() -> None:
+        echo_writers: list[asyncio.StreamWriter] = []
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            far.append(writer)
+            echo_writers.append(writer)
             try:
                 while data := await reader.read(4096):
                     writer.write(data)
@@ -85,15 +87,15 @@
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         proxy, port = LinkProxy(("127.0.0.1", server.sockets[0].getsockname()[1]), profile), free_port()
         proxy.listen(port, "127.0.0.1")
-        await asyncio.wait_for(talk(proxy, port, far), 20)
+        await asyncio.wait_for(client_script(proxy, port, echo_writers), 20)
         proxy.stop()
         server.close()
 
-    asyncio.run(all_of_it())
+    asyncio.run(run())
 
 
-def test_bytes_are_delayed_and_complete_and_connections_are_reset() -> None:
-    async def talk(proxy: LinkProxy, port: int, far: list[asyncio.StreamWriter]) -> None:
+def test_the_proxy_delays_and_delivers_all_bytes_and_resets_connections_on_request() -> None:
+    async def client_script(proxy: LinkProxy, port: int, echo_writers: list[asyncio.StreamWriter]) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         began, sent = time.monotonic(), bytes(range(256)) * 800
         writer.write(sent)
@@ -102,11 +104,11 @@
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(1)
 
-    play(LinkProfile(delay_s=0.05, jitter_s=0.01), talk)
+    run_with_proxy(LinkProfile(delay_s=0.05, jitter_s=0.01), client_script)
 
 
 def test_a_silent_outage_delays_bytes_and_a_frozen_connection_never_delivers_them() -> None:
-    async def talk(proxy: LinkProxy, port: int, far: list[asyncio.StreamWriter]) -> None:
+    async def client_script(proxy: LinkProxy, port: int, echo_writers: list[asyncio.StreamWriter]) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"before")
         assert await reader.readexactly(6) == b"before"
@@ -124,11 +126,11 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(1), 0.2)
 
-    play(LinkProfile(), talk)
+    run_with_proxy(LinkProfile(), client_script)
 
 
 def test_a_resetting_outage_rejects_new_connections() -> None:
-    async def talk(proxy: LinkProxy, port: int, far: list[asyncio.StreamWriter]) -> None:
+    async def client_script(proxy: LinkProxy, port: int, echo_writers: list[asyncio.StreamWriter]) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"x")
         assert await reader.readexactly(1) == b"x"
@@ -143,21 +145,21 @@
         writer.write(b"y")
         assert await reader.readexactly(1) == b"y"
 
-    play(LinkProfile(outage_kind=OutageKind.RESET), talk)
+    run_with_proxy(LinkProfile(outage_kind=OutageKind.RESET), client_script)
 
 
-def test_a_connection_is_reset_after_its_bytes_and_a_close_is_passed_on() -> None:
-    async def talk(proxy: LinkProxy, port: int, far: list[asyncio.StreamWriter]) -> None:
+def test_a_connection_is_reset_after_its_byte_limit_and_a_close_is_forwarded() -> None:
+    async def client_script(proxy: LinkProxy, port: int, echo_writers: list[asyncio.StreamWriter]) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"x" * 10)
         assert await reader.readexactly(10) == b"x" * 10
-        writer.write(b"y" * 10)  # with the 20 before it, over the 25 that may pass
+        writer.write(b"y" * 10)  # 20 bytes have passed, and these exceed the limit of 25
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(11)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"z")
         assert await reader.readexactly(1) == b"z"
-        far[-1].close()
+        echo_writers[-1].close()
         assert await reader.read() == b""
 
-    play(LinkProfile(reset_after_bytes=25), talk)
+    run_with_proxy(LinkProfile(reset_after_bytes=25), client_script)
