--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -323,19 +323,19 @@
         path.write_text(json.dumps(config))
         node.signal(signal.SIGHUP)
 
-        async def all_have_settings() -> bool:
+        async def every_node_has_settings() -> bool:
             documents = [await it.query("document", "settings") for it in cluster.nodes.values()]
             contents = [(it.get("active") or {}).get("content", {}) for it in documents]
             return all(it.get("Limits", {}).get("AttemptsCap") == 2 for it in contents)
 
-        await cluster.wait_until(all_have_settings, 20, "settings of n4 at all nodes")
+        await cluster.wait_until(every_node_has_settings, 20, "settings of n4 at all nodes")
         assert b" 202 " in await node.console("/transcribers/disable/s-0")
 
-        async def all_have_ban() -> bool:
+        async def every_node_has_ban() -> bool:
             documents = [await it.query("document", "bans") for it in cluster.nodes.values()]
             return all((it.get("active") or {}).get("content", {}).keys() == {"s-0"} for it in documents)
 
-        await cluster.wait_until(all_have_ban, 20, "ban at all nodes")
+        await cluster.wait_until(every_node_has_ban, 20, "ban at all nodes")
         assert await cluster.check() == []
 
     run_cluster(scenario, ProcessCluster(tmp_path, 5, 3), per_s=5)
