--- a/puffinpost/emulator/fleet/client.py
+++ b/puffinpost/emulator/fleet/client.py
@@ -1,4 +1,4 @@
-"""A simulated client of a fleet's node, with the connection of its attempts to endpoints."""
+"""A simulated client of a simulated node, and the connections of its attempts to endpoints."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.answers = 0
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Connects after a drawn delay."""
+        """Connects after a random delay."""
         slow = self.chance.random() < self.environment.slow_connect_probability
         limit_ns = self.coordinator.settings.dial_timeout_ns
         delay_ns = int(limit_ns * self.chance.random()) if slow else LINK_DELAY_NS
@@ -53,7 +53,7 @@
             )
 
     def abort_attempt(self, attempt: Attempt) -> None:
-        """The connection is closed; nothing more comes of it."""
+        """The connection is closed, and produces no further events."""
 
     def reject(self, retry_after_ns: int) -> None:
         """The request is rejected."""
@@ -66,7 +66,7 @@
         self._final_answer()
 
     def migrate(self) -> None:
-        """The client leaves, and does not return to this node."""
+        """The client disconnects and does not reconnect to this node."""
 
     def _final_answer(self) -> None:
         self.answers += 1
--- a/puffinpost/emulator/fleet/clock.py
+++ b/puffinpost/emulator/fleet/clock.py
@@ -1,6 +1,6 @@
-"""The virtual clock of a simulated fleet, with the timers that a coordinator needs.
+"""The virtual clock and the timers of a simulated fleet.
 
-Every part of the fleet schedules its work here; nothing reads the system's clock.
+All parts of the fleet, including the coordinators, schedule their work here; nothing reads the system clock.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     callback: Callable[[], None] | None
 
     def fire(self) -> None:
-        """Calls back, unless it was cancelled."""
+        """Runs the callback unless the timer was cancelled."""
         if self.callback is not None:
             self.callback()
 
@@ -35,12 +35,12 @@
         return self.now_ns
 
     def call_later(self, after_ns: int, callback: Callable[[], None]) -> Timer:
-        """Calls back once after this delay; a negative delay counts as none."""
+        """Runs the callback once after this delay; a negative delay counts as zero."""
         timer = Timer(callback)
         self.at(self.now_ns + after_ns, timer.fire)
         return timer
 
     def cancel(self, handle: Timer | None) -> None:
-        """Cancels a timer; does nothing for None or for one that has run."""
+        """Cancels a timer; does nothing if it is None or has already fired."""
         if handle is not None:
             handle.callback = None
