--- a/puffinpost/emulator/fleet/discovery.py
+++ b/puffinpost/emulator/fleet/discovery.py
@@ -1,7 +1,8 @@
-"""A simulated discovery service, which works through the calls of all nodes in turn on a virtual clock.
+"""A simulated discovery service, which processes the calls of all nodes one at a time on a virtual clock.
 
-The fleet changes its endpoint list and plants its faults: it can be slow, down or silent, lag behind, and
-restart with another version count. Nodes' pollers call it; it reports what it does to the drain rule.
+The fleet changes its endpoint list and injects faults: the service can be slow, down or stalled, lag behind,
+and restart with another version number. The pollers of the nodes call it, and it reports the calls and its
+answers to the drain rule.
 """
 
 from __future__ import annotations
@@ -14,22 +15,22 @@
 from puffinpost.emulator.fleet.clock import LINK_DELAY_NS, MS, Clock, S
 from puffinpost.emulator.fleet.drain_rule import Change, DrainRule
 
-QUEUE_TIMEOUT_NS = 2 * S  # a call that would wait longer in discovery's queue fails
+QUEUE_TIMEOUT_NS = 2 * S  # a call that would be queued for longer fails
 
-ListDocument = dict[str, Any]  # an endpoint list, or one entry of it, in the form that discovery writes
+ListDocument = dict[str, Any]  # an endpoint list, or one entry of it, in discovery's format
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """One endpoint of the true list."""
+    """One endpoint of the true list, which discovery may not have received yet."""
 
     name: str
     status: str = "up"
     since_ms: int = 0
-    change: Change | None = None  # the last one
+    change: Change | None = None  # the latest
 
     def document(self) -> ListDocument:
-        """The endpoint's entry in discovery's form."""
+        """The endpoint's entry in discovery's format."""
         return {
             "name": self.name,
             "address": "127.0.0.1:9000",
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedEntry:
-    """An entry of the list, and the list's version that it came with."""
+    """An entry of the list, and the version of the list that it was published with."""
 
     version: int
     document: ListDocument
@@ -52,39 +53,39 @@
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A call at discovery. ``on_end`` receives the answer, or how the call ended without one."""
+    """A call that discovery received. ``on_result`` gets the answer, or the reason why there is none."""
 
     node: int
     call: DiscoveryCall
-    on_end: Callable[[CallFailure | ListDocument], None]
-    watching: bool = False  # its turn has come, and it waits for a change
+    on_result: Callable[[CallFailure | ListDocument], None]
+    watching: bool = False  # it has left the queue, and waits for a change
     muted: bool = False  # it will never be answered
     closed: bool = False
 
 
 @dataclass(slots=True)
 class SimulatedDiscovery:
-    """The service. ``watch_cost_ns``: its work for a watch; ``lag_ns``: its delay behind the true list."""
+    """The service. ``watch_cost_ns``: time to process a watch; ``lag_ns``: its delay behind the true list."""
 
     clock: Clock
     rule: DrainRule
     watch_cost_ns: int
     lag_ns: int = 0
     version: int = 1
-    last_change: int = 0  # the newest change that it has received
+    last_change: int = 0  # the number of the newest change that it has received
     entries: dict[str, VersionedEntry] = field(default_factory=dict)
     busy_until_ns: int = 0
     down: bool = False
-    silent: bool = False
+    stalled: bool = False
     pending_calls: list[PendingCall] = field(default_factory=list)
     received_ns: dict[int, int] = field(default_factory=dict)  # by the change's number
     reachable_since_ns: int | None = 0  # None: it cannot be reached
-    silent_since_ns: int | None = None
-    node_count: int = 0  # nodes that poll it; 0: it can serve any number
+    stalled_since_ns: int | None = None
+    node_count: int = 0  # nodes that poll it; 0: it has capacity for any number
     snapshot_cost_factor: float = 1.0  # the cost of a full list, in watches
 
     def add_endpoints(self, records: list[EndpointRecord]) -> None:
-        """Adds endpoints to the list that the service starts with."""
+        """Adds endpoints to the initial list."""
         for record in records:
             self.entries[record.name] = VersionedEntry(self.version, record.document())
 
@@ -101,7 +102,7 @@
             self.entries[document["name"]] = VersionedEntry(self.version, document)
             self.last_change = max(self.last_change, number)
             self.received_ns.setdefault(number, self.clock.now_ns)
-        if self.down or self.silent:
+        if self.down or self.stalled:
             return
         for pending in [each for each in self.pending_calls if each.watching]:
             self._answer_if_changed(pending)
@@ -109,13 +110,13 @@
     # --- calls ----------------------------------------------------------------------------------------
 
     def accept(self, pending: PendingCall) -> None:
-        """A call arrives; it is queued behind the others."""
+        """Receives a call and queues it behind the others."""
         if self.down:
             return
         now_ns = self.clock.now_ns
         self.rule.call_received(pending.node, pending.call.wait_ms * MS, now_ns)
         self.pending_calls.append(pending)
-        if self.silent:
+        if self.stalled:
             return
         starts_ns = max(now_ns, self.busy_until_ns)
         if starts_ns - now_ns > QUEUE_TIMEOUT_NS:
@@ -132,7 +133,7 @@
             self.pending_calls.remove(pending)
 
     def calls_of(self, node: int) -> list[PendingCall]:
-        """A node's calls that are pending."""
+        """The pending calls of a node."""
         return [pending for pending in self.pending_calls if pending.node == node]
 
     def close_calls_of(self, node: int) -> None:
@@ -141,7 +142,7 @@
             self.close_call(pending)
 
     def _process(self, pending: PendingCall) -> None:
-        if pending.closed or pending.muted or self.silent:
+        if pending.closed or pending.muted or self.stalled:
             return
         if pending.call.after is None:
             self._answer(pending, True, list(self.entries.values()))
@@ -152,8 +153,8 @@
             self.clock.call_later(pending.call.wait_ms * MS, lambda: self._wait_elapsed(pending))
 
     def _wait_elapsed(self, pending: PendingCall) -> None:
-        if not (pending.closed or pending.muted or self.silent):
-            # Changes may have arrived while discovery was silent.
+        if not (pending.closed or pending.muted or self.stalled):
+            # Changes may have arrived while discovery was stalled.
             self._answer(pending, False, self._changes_for(pending))
 
     def _answer_if_changed(self, pending: PendingCall) -> None:
@@ -178,27 +179,27 @@
         self.rule.answer_written(
             pending.node, self.last_change, self.clock.now_ns, endpoints, newer_call_open
         )
-        self.clock.call_later(LINK_DELAY_NS, lambda: pending.on_end(answer))
+        self.clock.call_later(LINK_DELAY_NS, lambda: pending.on_result(answer))
 
-    def _fail(self, pending: PendingCall, call_end: CallFailure) -> None:
+    def _fail(self, pending: PendingCall, failure: CallFailure) -> None:
         if not pending.closed:
             self.close_call(pending)
             self.rule.call_failed(pending.node, self.clock.now_ns)
-            self.clock.call_later(LINK_DELAY_NS, lambda: pending.on_end(call_end))
+            self.clock.call_later(LINK_DELAY_NS, lambda: pending.on_result(failure))
 
     # --- faults ---------------------------------------------------------------------------------------
 
     def restart(self, version: int) -> None:
-        """Another process takes over, which counts its versions from ``version``."""
+        """Replaces the process by another one, which counts its versions from ``version``."""
         self.version = version
         self.entries = {name: VersionedEntry(version, entry.document) for name, entry in self.entries.items()}
         self._reset_calls()
 
     def set_watch_cost(self, cost_ns: int) -> None:
-        """Changes the work of a watch from now on.
+        """Changes the time to process a watch from now on.
 
-        A service that cannot answer all its nodes in turn within the queue's timeout is out of reach for some
-        of them, whatever they do; after that it is out of reach until its backlog is done.
+        While the service cannot answer one watch of every node within the queue timeout, some nodes cannot
+        reach it, whatever they do. After that it stays unreachable until its backlog is processed.
         """
         self.watch_cost_ns = cost_ns
         if cost_ns * self.node_count > QUEUE_TIMEOUT_NS:
@@ -207,28 +208,28 @@
             self.reachable_since_ns = max(self.clock.now_ns, self.busy_until_ns)
 
     def go_down(self) -> None:
-        """Refuses connections, and resets those that are open."""
+        """Refuses new connections, and resets the open ones."""
         self.down, self.reachable_since_ns = True, None
         self._reset_calls()
 
-    def fall_silent(self) -> None:
-        """Accepts connections and answers nothing."""
-        self.silent, self.reachable_since_ns = True, None
-        self.silent_since_ns = self.clock.now_ns
+    def stall(self) -> None:
+        """Accepts connections, but answers no call."""
+        self.stalled, self.reachable_since_ns = True, None
+        self.stalled_since_ns = self.clock.now_ns
 
     def recover(self) -> None:
-        """Can be reached again."""
-        self.down = self.silent = False
+        """Ends the fault; the service can be reached again."""
+        self.down = self.stalled = False
         self.reachable_since_ns = self.clock.now_ns
         self.set_watch_cost(self.watch_cost_ns)
 
     def mute_pending_calls(self) -> None:
-        """Never answers the calls that are pending, and serves later ones as before."""
+        """Leaves the pending calls unanswered for ever; later calls are served as before."""
         for pending in self.pending_calls:
             pending.muted = True
 
     def _reset_calls(self) -> None:
-        """Ends all pending calls. A node that is between an answer and its next call no longer watches."""
+        """Fails all pending calls. A node between an answer and its next call counts as not watching."""
         self.rule.discovery_reset()
         for pending in list(self.pending_calls):
             self._fail(pending, CallFailure.FAILED)
--- a/puffinpost/emulator/fleet/environment.py
+++ b/puffinpost/emulator/fleet/environment.py
@@ -1,4 +1,4 @@
-"""What a node of a simulated fleet shares with the rest of it."""
+"""The options of a simulated fleet, and the state that its nodes share."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class FleetFault(Enum):
-    """The fault that a simulated fleet suffers."""
+    """The fault that is injected into a simulated fleet."""
 
     NONE = "none"
     DISCOVERY_DOWN = "discovery down"
-    DISCOVERY_SILENT = "discovery silent"
+    DISCOVERY_STALLED = "discovery stalled"
     DISCOVERY_RESTARTED = "discovery restarted"
-    DISCOVERY_REPLACED = "discovery replaced"  # a new configuration names another one
+    DISCOVERY_REPLACED = "discovery replaced"  # a new configuration names another discovery
     DISCOVERY_SLOW = "discovery slow"
-    CALLS_MUTED = "calls muted"  # all open watches stop being answered in one moment
+    CALLS_MUTED = "calls muted"  # all open watches stop being answered at the same moment
     NODES_KILLED = "nodes killed"
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """How a fleet is played.
+    """The options of a simulation run.
 
-    ``fault``: drawn from the seed where it is None. ``watch_round_s``: how long discovery takes to answer one
-    watch of each node; drawn where it is 0. ``snapshot_cost_factor``: the cost of a full list, in watches.
-    The rest are defects to plant: a pause after each answer, an attempt that is not checked against the list
-    before its first byte, and a process that serves before it has a current list.
+    ``fault``: None samples one with the seed. ``watch_round_s``: how long discovery takes to answer one watch
+    of each node; 0 samples it. ``snapshot_cost_factor``: the cost of a full list, in watches. The last three
+    options inject defects: a pause after each answer, attempts that are not checked against the list before
+    their first byte, and processes that serve before they have a current list.
     """
 
     span_s: float = 15.0
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Environment:
-    """What all nodes of a fleet share. ``discoveries``: the first is polled until a node is redirected."""
+    """State shared by all nodes of a fleet. A node polls the first of ``discoveries`` until a redirect."""
 
     clock: Clock
     rule: DrainRule
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class NodeContext:
-    """One node's process, for the parts of it. ``chance``: its generator, which all of them draw from."""
+    """State shared by the parts of one node's process. ``chance``: the random generator of all of them."""
 
     number: int
     environment: Environment
--- a/puffinpost/emulator/fleet/fleet.py
+++ b/puffinpost/emulator/fleet/fleet.py
@@ -1,7 +1,7 @@
-"""Plays a fleet of nodes against a simulated discovery on a virtual clock, with faults, all from one seed.
+"""Simulates a fleet of nodes and its discovery on a virtual clock, with faults, from a single seed.
 
 Tests create a `Fleet`, run it, and read the drain rule's violations. The same seed and options give the same
-play.
+run.
 """
 
 from __future__ import annotations
@@ -18,42 +18,42 @@
 from puffinpost.emulator.fleet.environment import DEFAULT_OPTIONS, Environment, FleetFault, FleetOptions
 from puffinpost.emulator.fleet.node import FleetNode
 
-DRAWN_FAULTS = (
+SAMPLED_FAULTS = (
     FleetFault.NONE,
     FleetFault.DISCOVERY_DOWN,
-    FleetFault.DISCOVERY_SILENT,
+    FleetFault.DISCOVERY_STALLED,
     FleetFault.DISCOVERY_RESTARTED,
     FleetFault.DISCOVERY_REPLACED,
     FleetFault.DISCOVERY_SLOW,
 )
-SMALL_FLEET = 40  # nodes; larger ones have less traffic each, to bound the play's length
-SLOWDOWN = 10  # of a slow discovery
+SMALL_FLEET_SIZE = 40  # each node of a larger fleet has less traffic, which bounds the duration of a run
+SLOWDOWN_FACTOR = 10  # of a slow discovery's processing
 NODE_SEED_STEP = 10_007
 
 
 class Fleet:
-    """One play of a fleet."""
+    """One simulation run of a fleet."""
 
     def __init__(self, seed: int, node_count: int, options: FleetOptions = DEFAULT_OPTIONS) -> None:
         self.seed, self.options = seed, options
         self.clock, self.rule = Clock(), DrainRule()
         self.chance = chance = random.Random(seed)
         slow_connect_probability = chance.choice((0.0, 0.3))
-        arrivals_per_s = chance.choice((1.0, 4.0)) if node_count <= SMALL_FLEET else 0.3
+        arrivals_per_s = chance.choice((1.0, 4.0)) if node_count <= SMALL_FLEET_SIZE else 0.3
         self.environment = Environment(
             self.clock, self.rule, options, slow_connect_probability, arrivals_per_s
         )
         self.span_ns = int(options.span_s * S)
         self._create_discoveries(node_count)
-        self.settings = self._draw_settings(node_count)
+        self.settings = self._sample_settings(node_count)
         self.nodes = [
             FleetNode(self.environment, number, self.settings, seed * NODE_SEED_STEP + number)
             for number in range(node_count)
         ]
         documents = [record.document() for record in self.environment.endpoints.values()]
-        known = {"index": 1, "snapshot": True, "endpoints": documents}
+        cached_list = {"index": 1, "snapshot": True, "endpoints": documents}
         for node in self.nodes:
-            self.clock.call_later(chance.randrange(S // 5), partial(self._start, node, known))
+            self.clock.call_later(chance.randrange(S // 5), partial(self._start, node, cached_list))
         self.fault = options.fault
         self._schedule_events()
 
@@ -63,7 +63,7 @@
         return self.environment.extra_answers
 
     def run(self) -> Fleet:
-        """Plays it to its end."""
+        """Runs the simulation to its end."""
         self.clock.run_until(self.span_ns)
         return self
 
@@ -86,7 +86,7 @@
             discovery.snapshot_cost_factor = options.snapshot_cost_factor
             discovery.set_watch_cost(cost_ns)
 
-    def _draw_settings(self, node_count: int) -> Settings:
+    def _sample_settings(self, node_count: int) -> Settings:
         chance = self.chance
         return Settings(
             balancer_index=0,
@@ -113,19 +113,19 @@
             load_report_fields=("x0", "concurrent"),
         )
 
-    def _start(self, node: FleetNode, known: ListDocument) -> None:
+    def _start(self, node: FleetNode, cached_list: ListDocument) -> None:
         poll_within_ns = node.coordinator.settings.poll_within_ns
         self.rule.node_started(node.context.number, self.clock.now_ns, poll_within_ns, node.poller.discovery)
-        node.start(known)
+        node.start(cached_list)
 
     # --- events ---------------------------------------------------------------------------------------
 
     def _at(self, fraction: float, callback: Callable[[], None]) -> None:
-        """Schedules a call at this fraction of the play's span."""
+        """Schedules a call at this fraction of the simulated time span."""
         self.clock.call_later(int(self.span_ns * fraction), callback)
 
     def _schedule_events(self) -> None:
-        """Draws batches of changes, at times as close as discovery's period, and one fault."""
+        """Schedules one fault, and batches of changes at random times, as close as discovery's period."""
         chance = self.chance
         at, period = chance.uniform(0.1, 0.3), chance.uniform(0.18, 1.5) * S / self.span_ns
         while at < 0.95:
@@ -134,7 +134,7 @@
         begins = chance.uniform(0.2, 0.6)
         ends = begins + chance.uniform(0.02, 0.25)
         if self.fault is None:
-            self.fault = chance.choice(DRAWN_FAULTS)
+            self.fault = chance.choice(SAMPLED_FAULTS)
         self._schedule_fault(self.fault, begins, ends)
 
     def _schedule_fault(self, fault: FleetFault, begins: float, ends: float) -> None:
@@ -146,8 +146,8 @@
             case FleetFault.DISCOVERY_DOWN:
                 self._at(begins, discovery.go_down)
                 self._at(ends, discovery.recover)
-            case FleetFault.DISCOVERY_SILENT:
-                self._at(begins, discovery.fall_silent)
+            case FleetFault.DISCOVERY_STALLED:
+                self._at(begins, discovery.stall)
                 self._at(ends, discovery.recover)
             case FleetFault.DISCOVERY_RESTARTED:
                 self._at(begins, lambda: discovery.restart(chance.choice((1, 2, 5000))))
@@ -155,31 +155,31 @@
                 for node in self.nodes:
                     self._at(begins + chance.uniform(0, 0.02), partial(node.redirect, other_discovery))
             case FleetFault.DISCOVERY_SLOW:
-                self._at(begins, lambda: discovery.set_watch_cost(discovery.watch_cost_ns * SLOWDOWN))
-                self._at(ends, lambda: discovery.set_watch_cost(discovery.watch_cost_ns // SLOWDOWN))
+                self._at(begins, lambda: discovery.set_watch_cost(discovery.watch_cost_ns * SLOWDOWN_FACTOR))
+                self._at(ends, lambda: discovery.set_watch_cost(discovery.watch_cost_ns // SLOWDOWN_FACTOR))
             case FleetFault.CALLS_MUTED:
                 self._at(begins, discovery.mute_pending_calls)
             case FleetFault.NODES_KILLED:
                 self._at(begins, self._kill_nodes)
 
     def _kill_nodes(self) -> None:
-        """Kills seven nodes in ten at once; they restart some seconds later, with the lists that they had."""
+        """Kills 70% of the nodes at once; they restart 0.5 to 5.6 s later, with the lists that they had."""
         down_ns = int(self.chance.uniform(0.5, 5.5) * S)
         count = max(1, len(self.nodes) * 7 // 10)
         for number in self.chance.sample(range(len(self.nodes)), count):
-            known = self.nodes[number].kill()
+            cached_list = self.nodes[number].kill()
             after_ns = down_ns + self.chance.randrange(S // 10)
-            self.clock.call_later(after_ns, partial(self._restart, number, known))
+            self.clock.call_later(after_ns, partial(self._restart, number, cached_list))
 
-    def _restart(self, number: int, known: ListDocument) -> None:
+    def _restart(self, number: int, cached_list: ListDocument) -> None:
         seed = (self.seed + 1) * NODE_SEED_STEP + number
         node = FleetNode(self.environment, number, self.settings, seed)
         self.nodes[number] = node
         self.rule.node_restarted(number, self.clock.now_ns)
-        node.start(known)
+        node.start(cached_list)
 
     def _change_endpoints(self) -> None:
-        """Changes a batch of endpoints: some drain, some are removed, some return."""
+        """Changes a batch of endpoints: some drain, some are removed, some are available again."""
         chance = self.chance
         records = list(self.environment.endpoints.values())
         batch = chance.sample(records, chance.randrange(1, max(2, len(records) // 2)))
--- a/puffinpost/emulator/fleet/node.py
+++ b/puffinpost/emulator/fleet/node.py
@@ -1,6 +1,6 @@
-"""One node of a simulated fleet: the program's own coordinator, with the runtime's part simulated.
+"""One node of a simulated fleet: the program's own coordinator on a simulated runtime.
 
-`Fleet` starts and kills it. It implements `Ports` for its coordinator, and opens no socket.
+`Fleet` starts and kills the node, which implements `Ports` for its coordinator and opens no sockets.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 READY_CHECK_NS = 10 * MS
 HEALTH_CHECK_NS = 2 * MS  # the round trip of a health check
-HEALTH_CHECK_LOAD = (0.3, 5.0)  # what each one reports
+HEALTH_CHECK_LOAD = (0.3, 5.0)  # the load report of each health check
 DEADLINES_MS = (1200, 2000, 4800)  # of requests
 
 
@@ -43,7 +43,7 @@
     # --- Ports ----------------------------------------------------------------------------------------
 
     def check_health(self, endpoint: EndpointId) -> None:
-        """Every health check succeeds, with the same report."""
+        """Every health check succeeds, with the same load report."""
         self.clock.call_later(
             HEALTH_CHECK_NS,
             lambda: self.coordinator.health_check_completed(
@@ -52,7 +52,7 @@
         )
 
     def poll_endpoint_list(self) -> None:
-        """The coordinator wants the endpoint list."""
+        """The coordinator requests the endpoint list."""
         self.poller.poll()
 
     def write_log(self, text: str) -> None:
@@ -60,9 +60,9 @@
 
     # --- the process ----------------------------------------------------------------------------------
 
-    def start(self, known: ListDocument) -> None:
-        """The process starts, with a list that an earlier one has left."""
-        self.coordinator.endpoint_list_received(known, cached=True)
+    def start(self, cached_list: ListDocument) -> None:
+        """Starts the process with the list that an earlier process saved."""
+        self.coordinator.endpoint_list_received(cached_list, cached=True)
         self._serve_when_ready(self.clock.now_ns + STARTUP_LIST_TIMEOUT_NS)
 
     def _serve_when_ready(self, until_ns: int) -> None:
@@ -77,7 +77,7 @@
             self.clock.call_later(READY_CHECK_NS, lambda: self._serve_when_ready(until_ns))
 
     def kill(self) -> ListDocument:
-        """Kills the process; returns the list that it had, in discovery's form."""
+        """Kills the process; returns the list that it had, in discovery's format."""
         self.context.stopped = True
         self.poller.stop()
         endpoints = self.endpoint_list
@@ -100,7 +100,7 @@
         self.poller.redirect(discovery)
 
     def _open_request(self) -> None:
-        """A client opens a request, and the next client follows after a drawn time."""
+        """A client opens a request; the next client follows after a random time."""
         if self.context.stopped:
             return
         chance = self.context.chance
--- a/puffinpost/emulator/fleet/poller.py
+++ b/puffinpost/emulator/fleet/poller.py
@@ -1,7 +1,7 @@
-"""One node's calls to the simulated discovery, in the place of the network client.
+"""One node's calls to the simulated discovery, in place of the network client.
 
-`FleetNode` starts it and redirects it; it feeds the node's coordinator with lists and failures, and takes the
-next call from the program's own `WatchState`.
+`FleetNode` starts and redirects it. It passes lists and failures to the node's coordinator, and gets each
+next call from the `WatchState` that the program itself uses.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Poller:
-    """The endpoint list's poller of one node."""
+    """Polls the endpoint list for one node."""
 
     def __init__(self, context: NodeContext) -> None:
         self.context, self.node = context, context.number
@@ -25,29 +25,29 @@
         self.watch_state = WatchState(context.coordinator.balancer.poll_schedule, True)
         self.discovery = context.environment.discoveries[0]
         self.redirect_target: SimulatedDiscovery | None = None
-        self.retired_discovery: SimulatedDiscovery | None = None  # accepts no call of this node any more
+        self.retired_discovery: SimulatedDiscovery | None = None  # accepts no more calls of this node
         self.pending: PendingCall | None = None
-        self.watch = 0  # the number of the watch that is active; 0: none is
+        self.watch = 0  # the number of the active watch; 0: none
         self.handling_late_answer = False
         self.last_failure: CallFailure | None = None
         self._watch_count = 0
 
     def poll(self) -> None:
-        """Starts a watch, unless one is active."""
+        """Starts a watch unless one is active."""
         if not self.watch and not self.context.stopped:
             self._start_watch()
 
     def stop(self) -> None:
-        """The node's process has ended: its calls are dropped."""
+        """Drops the calls of a node whose process has ended."""
         self.watch = 0
         self.discovery.close_calls_of(self.node)
 
     # --- redirection ----------------------------------------------------------------------------------
 
     def redirect(self, discovery: SimulatedDiscovery) -> None:
-        """Polls another discovery from a drawn time on.
+        """Switches to another discovery after a random delay.
 
-        The old one accepts no new connection of this node, and closes the open one after a while.
+        The old one accepts no new connections of this node, and closes the open one after a grace period.
         """
         if self.context.stopped:
             return
@@ -63,7 +63,7 @@
         for pending in self.discovery.calls_of(self.node):
             self.discovery.close_call(pending)
             self.environment.rule.call_failed(self.node, self.clock.now_ns)
-            pending.on_end(CallFailure.FAILED)
+            pending.on_result(CallFailure.FAILED)
 
     def _switch_to(self, discovery: SimulatedDiscovery) -> None:
         if self.redirect_target is not discovery or self.context.stopped:
@@ -89,57 +89,59 @@
         if watch != self.watch:
             return
         discovery = self.discovery
-        if discovery.down or discovery.silent or discovery is self.retired_discovery:
+        if discovery.down or discovery.stalled or discovery is self.retired_discovery:
             delay_ns = LINK_DELAY_NS if discovery.down else CONNECT_TIMEOUT_NS
             self.clock.call_later(delay_ns, lambda: self.call_failed(watch, CallFailure.UNREACHABLE))
             return
         began_ns = self.clock.now_ns
         call = self.watch_state.next_call(self.coordinator.endpoint_list.index, began_ns)
-        pending = PendingCall(self.node, call, lambda end: self.call_ended(watch, began_ns, end, pending))
+        pending = PendingCall(
+            self.node, call, lambda result: self.call_ended(watch, began_ns, result, pending)
+        )
         self.pending = pending
         discovery.accept(pending)
         self.clock.call_later(call.timeout_ns, lambda: self._time_out(watch, pending))
 
     def _time_out(self, watch: int, pending: PendingCall) -> None:
         if not pending.closed and watch == self.watch and self.pending is pending:
-            # The call stays open until another one is answered, and what comes on it is read.
+            # The call stays open until another one is answered; a late answer to it is still read.
             self.pending = None
             self.call_failed(watch, CallFailure.TIMED_OUT)
 
     def call_ended(
-        self, watch: int, began_ns: int, end: CallFailure | ListDocument, pending: PendingCall
+        self, watch: int, began_ns: int, result: CallFailure | ListDocument, pending: PendingCall
     ) -> None:
-        """A call was answered, perhaps after it had been given up, or ended without an answer."""
-        if self.pending is not pending and isinstance(end, dict) and not self.context.stopped:
-            self._late_answer(end)
+        """Handles the answer to a call, which may have been abandoned, or its end without an answer."""
+        if self.pending is not pending and isinstance(result, dict) and not self.context.stopped:
+            self._handle_late_answer(result)
         if watch != self.watch or self.pending is not pending or self.context.stopped:
             return
-        if isinstance(end, CallFailure):
-            self.call_failed(watch, end)
+        if isinstance(result, CallFailure):
+            self.call_failed(watch, result)
             return
-        outdated = end["index"] < self.coordinator.endpoint_list.index
-        self.coordinator.endpoint_list_received(end)
+        outdated = result["index"] < self.coordinator.endpoint_list.index
+        self.coordinator.endpoint_list_received(result)
         self.discovery.close_calls_of(self.node)
         now_ns = self.clock.now_ns
-        changed = bool(end["endpoints"])
+        changed = bool(result["endpoints"])
         pause_ns = self.watch_state.on_answer(changed, now_ns - began_ns, now_ns, outdated)
         pause_ns += int(self.environment.options.pause_after_answer_s * S * self.context.chance.random())
         self.clock.call_later(pause_ns, lambda: self._call(watch))
 
-    def _late_answer(self, document: ListDocument) -> None:
+    def _handle_late_answer(self, document: ListDocument) -> None:
         self.coordinator.endpoint_list_received(document)
         self.handling_late_answer = True
         self.poll()
         self.handling_late_answer = False
 
-    def call_failed(self, watch: int, end: CallFailure) -> None:
-        """A call ended without an answer; the next one follows at once, or when the coordinator polls."""
+    def call_failed(self, watch: int, failure: CallFailure) -> None:
+        """Handles a call without an answer. The next call follows at once or when the coordinator polls."""
         if watch != self.watch or self.context.stopped:
             return
-        self.last_failure = end
+        self.last_failure = failure
         if self.redirect_target is not None:
             self._switch_to(self.redirect_target)
-        elif self.watch_state.on_call_failed(end):
+        elif self.watch_state.on_call_failed(failure):
             self._call(watch)
         else:
             self.watch = 0
