--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import SETTINGS, WAIT_TIMEOUT_S, NodeProcess, SocketPeer, StandInDiscovery
-from test_endings import establish_at, have_no_attempts, wait_for_list
+from test_lifecycle_races import establish_at, have_no_attempts, wait_for_endpoint_list
 from test_mqtt import OPEN as MQTT_OPEN
 from test_mqtt import MqttWorld
 from test_node import OPEN, first_of, fresh, served
@@ -36,7 +36,7 @@
 def test_accepting_without_a_descriptor_neither_spins_nor_stops(deployment: Deployment, spare: bool) -> None:
     """The system has fewer than the node was told. With its spare one it answers; without, clients wait."""
     node = deployment.start()
-    wait_for_list(deployment.discovery)
+    wait_for_endpoint_list(deployment.discovery)
     first_free = min(set(range(4096)) - held(node))
     limits = resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE)
     resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (first_free if spare else 3, limits[1]))
@@ -64,7 +64,7 @@
 ) -> None:
     """Three may rest here. One of them asks, and a fourth comes, while the node is stopped."""
     node = deployment.start(sockets=32 + 14 + 14)
-    wait_for_list(deployment.discovery)
+    wait_for_endpoint_list(deployment.discovery)
     resting = [node.connect(b"PING\r\n") for _ in range(3)]
     assert [client.read_line() for client in resting] == [b"PONG\r\n"] * 3
     fourth = node.connect()
@@ -159,7 +159,7 @@
     rules = {**SETTINGS["Rules"], "AskWithinNs": 10_000_000_000}
     node = deployment.start(settings={"FleetSize": 200, "Rules": rules}, sockets=32 + 14 + 14)
     discovery.wait_for_polls(1)
-    wait_for_list(discovery)
+    wait_for_endpoint_list(discovery)
     discovery.limit.clear()
     discovery.reset()
     with discovery.changed:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import StandInEndpoint
-from test_endings import have_no_attempts, wait_for_list
+from test_lifecycle_races import have_no_attempts, wait_for_endpoint_list
 from test_node import OPEN, fresh
 from test_reload import is_migrated
 
@@ -85,7 +85,7 @@
     """The client of the draining endpoint is migrated; new clients are placed on the valid endpoint."""
     first, spare = deployment.endpoints
     node = deployment.start(endpoint_count=1)
-    wait_for_list(deployment.discovery)
+    wait_for_endpoint_list(deployment.discovery)
     client = node.connect(fresh(OPEN % 3000))
     attempt = first.accept()
     attempt.read_line()
@@ -96,7 +96,7 @@
         deployment.discovery.set_endpoint("s-1", spare.address)
         deployment.discovery.set_endpoint("s-2", **{"address": invalid.address, **INVALID_FIELDS[fault]})
         deployment.discovery.set_endpoint("s-0", first.address, "draining")
-    wait_for_list(deployment.discovery)
+    wait_for_endpoint_list(deployment.discovery)
     assert is_migrated(client)
     for _ in range(3):
         other = node.connect(fresh(OPEN % 3000))
--- a/tests/test_health_checker.py
+++ b/tests/test_health_checker.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from test_endings import UnacceptingServer
+from test_lifecycle_races import UnacceptingEndpoint
 
 from puffinpost.balancing.events import AttemptResult
 from puffinpost.frontends.platform.upstream import PlatformUpstream
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("wanted", [True, False])
 def test_an_endpoint_that_starts_draining_while_a_check_connects_is_not_checked(wanted: bool) -> None:
-    held = UnacceptingServer()
+    held = UnacceptingEndpoint()
 
     async def play() -> AttemptResult:
         probes = Checks()
--- a/tests/test_endings.py
+++ b/tests/test_lifecycle_races.py
@@ -1,6 +1,6 @@
-"""Races at the end of connections, attempts and processes; each is forced by what a stand-in withholds.
+"""Race conditions at the end of connections, attempts and processes.
 
-docs/acceptance.md lists the races, with the test of each.
+Each is forced by a stand-in that delays a step. docs/acceptance.md lists them with the test for each.
 """
 
 from __future__ import annotations
@@ -40,13 +40,18 @@
 from puffinpost.observability.counters import Counters
 from puffinpost.runtime.graceful_shutdown import GracefulShutdown
 
-MS = 1_000_000
-PATIENT = [{**item, "AimNs": 8000 * MS, "HardLimitNs": 9000 * MS} for item in SETTINGS["Classes"]]
-SLOW_DIALS = {"Classes": PATIENT, "Limits": {**SETTINGS["Limits"], "DialTimeoutNs": 6000 * MS}}
+NS_PER_MS = 1_000_000
+LONG_DEADLINE_CLASSES = [
+    {**item, "AimNs": 8000 * NS_PER_MS, "HardLimitNs": 9000 * NS_PER_MS} for item in SETTINGS["Classes"]
+]
+LONG_CONNECT_TIMEOUT = {
+    "Classes": LONG_DEADLINE_CLASSES,
+    "Limits": {**SETTINGS["Limits"], "DialTimeoutNs": 6000 * NS_PER_MS},
+}
 
 
-class UnacceptingServer(StandInEndpoint):
-    """An endpoint to which no connection is established: its backlog is full, and the kernel drops SYNs."""
+class UnacceptingEndpoint(StandInEndpoint):
+    """An endpoint that no client can connect to: its backlog is full, and the kernel drops SYNs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,52 +59,55 @@
         self.filler = socket.create_connection(("127.0.0.1", self.port))
 
     def accept_pending(self) -> SocketPeer:
-        """Makes room in the backlog; returns the connection that is established by the next SYN."""
+        """Empties the backlog and returns the connection that the next SYN establishes."""
         self.accept().close()
         self.filler.close()
         return self.accept()
 
 
-def wait_for_list(discovery: StandInDiscovery) -> None:
-    """Waits until a node has all of discovery's changes: it polls for later ones."""
+def wait_for_endpoint_list(discovery: StandInDiscovery) -> None:
+    """Waits until a node has all of discovery's changes, which it shows by polling for later ones."""
     with discovery.changed:
         assert discovery.changed.wait_for(
             lambda: discovery.index in discovery.polled_versions, WAIT_TIMEOUT_S
         )
 
 
-def have_no_attempts(*servers: StandInEndpoint) -> bool:
-    return not any(server.has_pending_connection() for server in servers)
+def have_no_attempts(*endpoints: StandInEndpoint) -> bool:
+    return not any(endpoint.has_pending_connection() for endpoint in endpoints)
 
 
-def establish_at(node: NodeProcess, server: StandInEndpoint, count: int) -> list[SocketPeer]:
-    """Establishes so many clients one after another at this endpoint; the upstream connections."""
-    kept = []
+def establish_at(node: NodeProcess, endpoint: StandInEndpoint, count: int) -> list[SocketPeer]:
+    """Establishes ``count`` sessions at this endpoint one after another; returns the upstream connections."""
+    upstreams = []
     for _ in range(count):
         client = node.connect(fresh(OPEN % 3000))
-        kept.append(server.accept())
-        kept[-1].read_line()
-        kept[-1].send(b"UP 1\r\n")
+        upstreams.append(endpoint.accept())
+        upstreams[-1].read_line()
+        upstreams[-1].send(b"UP 1\r\n")
         assert client.read_line() == b"UP 1\r\n"
-    return kept
+    return upstreams
 
 
-# --- between the choice and the first byte ----------------------------------------------------------
+# --- between endpoint selection and first byte ------------------------------------------------------
 
 
 @pytest.mark.parametrize("change", ["draining", "removed", "left out", "moved", "banned"])
-def test_list_change_during_a_connect_holds_before_the_first_byte(
+def test_endpoint_list_change_during_a_connect_applies_before_the_first_byte(
     deployment: Deployment, change: str
 ) -> None:
-    held, other = deployment.endpoints[0], deployment.endpoints[1] = UnacceptingServer(), StandInEndpoint()
-    deployment.endpoints[0] = held
-    node = deployment.start(endpoint_count=1, settings=SLOW_DIALS)
-    wait_for_list(deployment.discovery)
+    unaccepting, other = deployment.endpoints[0], deployment.endpoints[1] = (
+        UnacceptingEndpoint(),
+        StandInEndpoint(),
+    )
+    deployment.endpoints[0] = unaccepting
+    node = deployment.start(endpoint_count=1, settings=LONG_CONNECT_TIMEOUT)
+    wait_for_endpoint_list(deployment.discovery)
     client = node.connect(fresh(OPEN % 8000))
     node.wait_for_counter("relays", 1)
     deployment.discovery.set_endpoint("s-1", other.address)
     if change in ("draining", "removed"):
-        deployment.discovery.set_endpoint("s-0", held.address, change)
+        deployment.discovery.set_endpoint("s-0", unaccepting.address, change)
     elif change == "left out":
         del deployment.discovery.entries["s-0"]
         deployment.discovery.set_endpoint("s-1", other.address)
@@ -108,8 +116,8 @@
         deployment.discovery.set_endpoint("s-1", other.address, "draining")
     else:
         assert node.request_admin("POST", "/transcribers/disable/s-0")[0] == 200
-    wait_for_list(deployment.discovery)
-    peer = held.accept_pending()
+    wait_for_endpoint_list(deployment.discovery)
+    peer = unaccepting.accept_pending()
     assert peer.wait_for_close() == "end" and peer.buffer == b""
     upstream = other.accept()
     assert upstream.read_line().startswith(b"OPEN ")
@@ -117,49 +125,56 @@
     assert client.read_line() == b"UP 1\r\n"
 
 
-def test_retry_whose_window_ends_while_connecting_is_not_sent(deployment: Deployment) -> None:
-    """The window counts from the first attempt that may have run; the client is answered all the same."""
-    keyed = [{**PATIENT[0], "Repeat": "keyed", "WindowNs": 1500 * MS, "HardLimitNs": 4000 * MS}]
-    held, first = UnacceptingServer(), deployment.endpoints[1]
-    deployment.endpoints[0] = first
-    node = deployment.start(endpoint_count=1, settings={**SLOW_DIALS, "Classes": keyed})
-    began = time.monotonic()
+def test_retry_whose_window_ends_during_the_connect_is_not_sent(deployment: Deployment) -> None:
+    """The window starts with the first attempt that may have run. The client is answered nevertheless."""
+    keyed_classes = [
+        {
+            **LONG_DEADLINE_CLASSES[0],
+            "Repeat": "keyed",
+            "WindowNs": 1500 * NS_PER_MS,
+            "HardLimitNs": 4000 * NS_PER_MS,
+        }
+    ]
+    unaccepting, first_endpoint = UnacceptingEndpoint(), deployment.endpoints[1]
+    deployment.endpoints[0] = first_endpoint
+    node = deployment.start(endpoint_count=1, settings={**LONG_CONNECT_TIMEOUT, "Classes": keyed_classes})
+    started_at = time.monotonic()
     client = node.connect(fresh(OPEN % 3900))
-    upstream = first.accept()
+    upstream = first_endpoint.accept()
     upstream.read_line()
-    deployment.discovery.set_endpoint("s-1", held.address)
-    wait_for_list(deployment.discovery)
+    deployment.discovery.set_endpoint("s-1", unaccepting.address)
+    wait_for_endpoint_list(deployment.discovery)
     upstream.send(b"ERR\r\n")
     node.wait_for_counter("relays", 2)
-    while time.monotonic() - began < 1.6:
+    while time.monotonic() - started_at < 1.6:
         select.select([], [], [], 0.05)
-    peer = held.accept_pending()
+    peer = unaccepting.accept_pending()
     assert peer.wait_for_close() == "end" and peer.buffer == b""
-    assert client.read_line().startswith(b"BUSY") and have_no_attempts(first)
+    assert client.read_line().startswith(b"BUSY") and have_no_attempts(first_endpoint)
 
 
 def test_client_that_disconnects_during_the_connect_is_not_forwarded(deployment: Deployment) -> None:
-    held = deployment.endpoints[0] = UnacceptingServer()
-    node = deployment.start(endpoint_count=1, settings=SLOW_DIALS)
+    unaccepting = deployment.endpoints[0] = UnacceptingEndpoint()
+    node = deployment.start(endpoint_count=1, settings=LONG_CONNECT_TIMEOUT)
     client = node.connect(fresh(OPEN % 8000))
     node.wait_for_counter("relays", 1)
     client.close()
     node.wait_for_counter("gone", 1)
-    held.accept().close()
+    unaccepting.accept().close()
     assert node.read_counters()["relays"] == 1 and node.read_counters().get("relayed", 0) == 0
 
 
-# --- the client has gone ----------------------------------------------------------------------------
+# --- client disconnects -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("behind", [b"", b"more\r\n" * 4000])
+@pytest.mark.parametrize("trailing_data", [b"", b"more\r\n" * 4000])
 def test_client_that_disconnected_after_writing_gets_no_further_attempt(
-    deployment: Deployment, how: str, behind: bytes
+    deployment: Deployment, how: str, trailing_data: bytes
 ) -> None:
-    """Also after it wrote much: if that were left unread, the end of the connection would not be seen."""
+    """Also after a long input: if it stayed unread, the node would not notice the end of the connection."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000) + behind)
+    client = node.connect(fresh(OPEN % 3000) + trailing_data)
     _, upstream = first_of(deployment.endpoints)
     upstream.read_line()
     client.close(how)
@@ -168,8 +183,8 @@
     assert have_no_attempts(*deployment.endpoints) and node.read_counters()["relays"] == 1
 
 
-def test_final_bytes_of_a_client_reach_an_endpoint_that_writes_at_that_moment(deployment: Deployment) -> None:
-    """The node is stopped while both sides write and the client closes, so that unread bytes are pending."""
+def test_final_bytes_of_a_client_reach_an_endpoint_that_writes_meanwhile(deployment: Deployment) -> None:
+    """The node is suspended while both sides write and the client closes, so that input is left unread."""
     node = deployment.start()
     client = node.connect(fresh(OPEN % 3000))
     _, upstream = first_of(deployment.endpoints)
@@ -178,14 +193,14 @@
     assert client.read_line() == b"UP 1\r\n"
     node.process.send_signal(signal.SIGSTOP)
     client.send(b"last words\r\n")
-    client.socket.shutdown(socket.SHUT_WR)  # were it closed, what the node writes would make it a reset
+    client.socket.shutdown(socket.SHUT_WR)  # after a full close, the node's writes would cause a reset
     upstream.send((b"x" * 98 + b"\r\n") * 600)
     node.process.send_signal(signal.SIGCONT)
     assert upstream.read_line() == b"last words\r\n" and upstream.wait_for_close() == "end"
 
 
-def test_client_that_sends_without_end_before_its_answer_is_answered(deployment: Deployment) -> None:
-    """The buffer of one client is bounded, and its connection ends with an answer."""
+def test_client_that_sends_without_limit_before_its_answer_gets_an_error(deployment: Deployment) -> None:
+    """The buffer for one client is bounded. On overflow the client gets an answer before the close."""
     node = deployment.start()
     client = node.connect(fresh(OPEN % 3000))
     _, upstream = first_of(deployment.endpoints)
@@ -205,34 +220,38 @@
 
 
 def test_idle_client_that_sends_a_request_at_shutdown_is_answered(deployment: Deployment) -> None:
-    """Its line is read after the final answer: it is not forwarded, and no reset discards that answer."""
+    """The line is read after the final answer but not forwarded. Left unread, it would cause a reset, which
+    discards that answer.
+    """
     node = deployment.start()
-    rests = [node.connect(b"PING\r\n") for _ in range(3)]
-    assert all(it.read_line() == b"PONG\r\n" for it in rests)
+    idle_clients = [node.connect(b"PING\r\n") for _ in range(3)]
+    assert all(client.read_line() == b"PONG\r\n" for client in idle_clients)
     node.process.terminate()
-    for it in rests:
-        assert it.read_line().startswith(b"BUSY")
-        it.send(fresh(OPEN % 3000))
-        assert it.wait_for_close() == "end" and it.buffer == b""
+    for client in idle_clients:
+        assert client.read_line().startswith(b"BUSY")
+        client.send(fresh(OPEN % 3000))
+        assert client.wait_for_close() == "end" and client.buffer == b""
     assert node.process.wait(WAIT_TIMEOUT_S) == 0 and have_no_attempts(*deployment.endpoints)
 
 
-@pytest.mark.parametrize("said", [b"", b"OPEN 9b1f03aa5c7e2d41 7f3a"])
+@pytest.mark.parametrize("data", [b"", b"OPEN 9b1f03aa5c7e2d41 7f3a"])
 def test_client_with_an_incomplete_request_at_shutdown_is_answered(
-    deployment: Deployment, said: bytes
+    deployment: Deployment, data: bytes
 ) -> None:
-    """Where deadlines are short the process ends before the time-out of a first message."""
-    classes = [{**item, "HardLimitNs": 800 * MS, "AimNs": 300 * MS} for item in SETTINGS["Classes"]]
+    """With short deadlines the process exits before the timeout for a first message ends."""
+    classes = [
+        {**item, "HardLimitNs": 800 * NS_PER_MS, "AimNs": 300 * NS_PER_MS} for item in SETTINGS["Classes"]
+    ]
     node = deployment.start(settings={"Classes": classes})
-    client = node.connect(said)
-    began = time.monotonic()
+    client = node.connect(data)
+    started_at = time.monotonic()
     node.process.terminate()
     assert client.read_line() == b"BUSY 500\r\n" and client.wait_for_close() == "end"
-    assert node.process.wait(WAIT_TIMEOUT_S) == 0 and time.monotonic() - began < FIRST_MESSAGE_TIMEOUT_S
+    assert node.process.wait(WAIT_TIMEOUT_S) == 0 and time.monotonic() - started_at < FIRST_MESSAGE_TIMEOUT_S
 
 
 class SkippingSelector(selectors.DefaultSelector):
-    """A selector with a clock that skips the time in which nothing is ready."""
+    """A selector with a clock that skips time in which no descriptor is ready."""
 
     now = 0.0
 
@@ -243,46 +262,49 @@
 
 
 class PendingClient:
-    """A client with an incomplete request, and when it was timed out; it does not read the answer."""
+    """A client with an incomplete request that does not read the answer; records when it was timed out."""
 
-    def __init__(self, places: ConnectionAdmission, now: Callable[[], float]) -> None:
-        self.timed_out_at_s, self.admission, self.now = 0.0, places, now
-        places.admit_pending(self, 1e9)
+    def __init__(self, admission: ConnectionAdmission, now: Callable[[], float]) -> None:
+        self.timed_out_at_s, self.admission, self.now = 0.0, admission, now
+        admission.admit_pending(self, 1e9)
 
     def on_timeout(self) -> None:
         self.timed_out_at_s = self.now()
         self.admission.closing[object()] = None  # type: ignore[index]
 
 
-@pytest.mark.parametrize("heard_it", [False, True])
+@pytest.mark.parametrize("has_progressed", [False, True])
 @pytest.mark.parametrize("deadline_ms", [800, 1_300, 3_000, 9_000])
-def test_shutdown_ends_well_before_sigkill(heard_it: bool, deadline_ms: int) -> None:
-    """On a clock that is independent of load: 0.2 s of the 0.7 after the deadline are left for the exit."""
+def test_shutdown_leaves_time_for_the_exit_before_sigkill(has_progressed: bool, deadline_ms: int) -> None:
+    """SIGKILL follows 0.7 s after the deadline, of which 0.2 s are left for the exit. The clock is virtual,
+    so that the machine's load does not matter.
+    """
     selector = SkippingSelector()
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now  # type: ignore[method-assign]
-    places = ConnectionAdmission(100, Counters(), lambda after_s, call: None)
-    settings = SimpleNamespace(classes=[SimpleNamespace(deadline_ns=deadline_ms * MS)])
-    core: Any = SimpleNamespace(settings=settings, exchanges={}, established_exchanges=list)
-    front: Any = SimpleNamespace(draining=False, pending_connection_type=PendingClient)
-    client = PendingClient(places, loop.time)
-    if heard_it:
-        places.on_progress(client)
+    admission = ConnectionAdmission(100, Counters(), lambda after_s, call: None)
+    settings = SimpleNamespace(classes=[SimpleNamespace(deadline_ns=deadline_ms * NS_PER_MS)])
+    coordinator: Any = SimpleNamespace(settings=settings, exchanges={}, established_exchanges=list)
+    frontend: Any = SimpleNamespace(draining=False, pending_connection_type=PendingClient)
+    client = PendingClient(admission, loop.time)
+    if has_progressed:
+        admission.on_progress(client)
     handover: Any = SimpleNamespace(has_successor=False, has_pending_sessions=False)
 
     async def shut_down() -> None:
-        await GracefulShutdown(core, front, [], places, [], handover).run()
+        await GracefulShutdown(coordinator, frontend, [], admission, [], handover).run()
 
     loop.run_until_complete(shut_down())
     loop.close()
     deadline_s = min(deadline_ms / 1000, 3.0)
-    assert 0.5 <= client.timed_out_at_s <= deadline_s + 0.42 and front.draining
-    assert (client.timed_out_at_s >= deadline_s + 0.3) is heard_it  # who has begun has the time that there is
+    assert 0.5 <= client.timed_out_at_s <= deadline_s + 0.42 and frontend.draining
+    # A client that has sent something has all the time that is available.
+    assert (client.timed_out_at_s >= deadline_s + 0.3) is has_progressed
     assert selector.now <= deadline_s + 0.5
 
 
 def test_exit_skips_interpreter_finalization(deployment: Deployment) -> None:
-    """Finalization took a good part of the time until SIGKILL. All that the node wrote is still sent."""
+    """Finalization took a large part of the time until SIGKILL. All that the node wrote is still sent."""
     code = (
         "import atexit, sys; atexit.register(print, 'taken down', file=sys.stderr); "
         "from puffinpost.__main__ import main; sys.exit(main())"
@@ -295,8 +317,8 @@
     )
 
 
-def test_complete_line_that_is_unread_at_shutdown_is_answered(deployment: Deployment) -> None:
-    """The process is stopped while the client connects and writes, and has SIGTERM before it continues."""
+def test_complete_request_that_is_unread_at_sigterm_is_answered(deployment: Deployment) -> None:
+    """The process is suspended while the client connects and writes, and gets SIGTERM before it continues."""
     node = deployment.start()
     node.process.send_signal(signal.SIGSTOP)
     client = node.connect(fresh(OPEN % 2000))
@@ -342,11 +364,11 @@
 
 
 def start_unready(deployment: Deployment) -> tuple[subprocess.Popen[bytes], int, dict[str, Any]]:
-    """A node that waits for its configuration on a pipe; its port and configuration."""
+    """Starts a node that reads its configuration from a pipe; returns it, its port and the configuration."""
     pipe, port = deployment.folder / "config.pipe", free_port()
     os.mkfifo(pipe)
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
-    told = {
+    config = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
         "discovery": deployment.discovery.listener.address,
@@ -361,24 +383,24 @@
         stderr=subprocess.PIPE,
         env={**os.environ, "GW_CONFIG": str(pipe), "TMPDIR": str(deployment.folder)},
     )
-    return process, port, told
+    return process, port, config
 
 
-@pytest.mark.parametrize("early", [signal.SIGTERM, signal.SIGHUP])
-def test_signal_during_the_start_is_handled_once_the_node_is_ready(
-    deployment: Deployment, early: signal.Signals
+@pytest.mark.parametrize("early_signal", [signal.SIGTERM, signal.SIGHUP])
+def test_signal_during_startup_is_handled_once_the_node_is_ready(
+    deployment: Deployment, early_signal: signal.Signals
 ) -> None:
-    process, port, told = start_unready(deployment)
-    with (deployment.folder / "config.pipe").open("wb") as pipe:  # open once the node has opened its end
-        process.send_signal(early)
-        again = deployment.folder / "again.json"
-        again.write_text(json.dumps(told))
-        again.replace(deployment.folder / "config.pipe")  # for the second reading
-        pipe.write(json.dumps(told).encode())
-    if early is signal.SIGHUP:
-        until = time.monotonic() + WAIT_TIMEOUT_S
+    process, port, config = start_unready(deployment)
+    with (deployment.folder / "config.pipe").open("wb") as pipe:  # returns once the node has opened its end
+        process.send_signal(early_signal)
+        second_config = deployment.folder / "again.json"
+        second_config.write_text(json.dumps(config))
+        second_config.replace(deployment.folder / "config.pipe")  # for the read on reload
+        pipe.write(json.dumps(config).encode())
+    if early_signal is signal.SIGHUP:
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
         while not accepts_connections(port):
-            assert process.poll() is None and time.monotonic() < until
+            assert process.poll() is None and time.monotonic() < give_up_at
         process.terminate()
     assert process.wait(WAIT_TIMEOUT_S) == 0
 
@@ -392,7 +414,7 @@
 
 
 def test_load_report_at_the_end_of_a_connection_is_used(deployment: Deployment) -> None:
-    """Where answers hold load reports, most arrive with the final answer of established connections."""
+    """Where answers contain load reports, most arrive with the final answer of an established session."""
     report = {"Source": "inline", "Fields": ["x0", "concurrent"]}
     node = deployment.start(settings={"Report": report}, edge="[log]\ntrace = true\n")
     client = node.connect(fresh(OPEN % 3000))
@@ -403,8 +425,10 @@
     node.wait_for_log("report=(0.5, 3.0)")
 
 
-def test_write_that_fails_while_its_node_stops_fails_nothing_else(tmp_path: Path) -> None:
-    """Seen under load: the process exited with an error in place of 0."""
+def test_replica_write_that_ends_while_its_writer_closes_raises_no_error(tmp_path: Path) -> None:
+    """Under load the writer's task was cleared during the wait for it, and the process exited with an error
+    instead of 0.
+    """
     writer = ReplicaWriter(ReplicaStore(tmp_path, pytest.fail), dict, lambda counter: None)
 
     async def write() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import SETTINGS, NodeProcess, SocketPeer, StandInDiscovery
-from test_endings import establish_at, have_no_attempts, wait_for_list
+from test_lifecycle_races import establish_at, have_no_attempts, wait_for_endpoint_list
 from test_node import OPEN, first_of, fresh, served
 
 
@@ -53,7 +53,7 @@
     successor = StandInDiscovery()
     successor.index, successor.entries = deployment.discovery.index, dict(deployment.discovery.entries)
     node = deployment.start(endpoint_count=0, settings={"FleetSize": 200})
-    wait_for_list(deployment.discovery)
+    wait_for_endpoint_list(deployment.discovery)
     deployment.discovery.listener.socket.close()  # it takes no new connection ...
     began = time.monotonic()
     node.reload(discovery=successor.listener.address)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import SETTINGS, StandInDiscovery, free_port
-from test_endings import establish_at, have_no_attempts
+from test_lifecycle_races import establish_at, have_no_attempts
 from test_node import OPEN, first_of, fresh
 
 from puffinpost.balancing.poll_schedule import STARTUP_LIST_TIMEOUT_NS
