--- a/puffinpost/runtime/node.py
+++ b/puffinpost/runtime/node.py
@@ -165,7 +165,7 @@
     def apply_bans(self, banned: dict[str, int]) -> None:
         """Bans exactly these endpoints: by name, the time of the ban (Unix time, ns)."""
         self.coordinator.apply_bans(banned)
-        self.health_checker.close_unwanted(self.coordinator.accepts_new_work)
+        self.health_checker.close_excluded(self.coordinator.accepts_new_work)
 
     def _endpoint_list_index(self) -> int:
         """The index of discovery's last answer to this node.
@@ -179,9 +179,9 @@
         if self.cluster_state is not None and self.cluster_state.endpoint_list.on_discovery_answer(answer):
             return  # the list is applied once the nodes have agreed on it
         self.coordinator.endpoint_list_received(answer)
-        self.health_checker.close_unwanted(self.coordinator.accepts_new_work)
+        self.health_checker.close_excluded(self.coordinator.accepts_new_work)
 
     def _add_closed_class(self, name: str) -> None:
         """Adds a class that the configuration no longer has, for connections of it that are handed over."""
-        self.config = config.with_closed(self.config, name)
+        self.config = config.with_closed_class(self.config, name)
         self.apply_configuration()
