--- a/tests/data/fleet_audit/sitecustomize.py
+++ b/tests/data/fleet_audit/sitecustomize.py
@@ -1,6 +1,6 @@
 """Loaded by Python at the start of the node under test: records what the fleet's filter would refuse.
 
-Each record is one JSON line in the file that ``PUFFINPOST_AUDIT`` names: socket families made, processes
+Each record is one JSON line in the file that ``PUFFINPOST_AUDIT`` names: the family of each socket, processes
 started or forked, and calls of sendfile and splice, with the call's name. Python's audit hooks (PEP 578)
 see sockets, fork, exec and spawn; sendfile, splice and socketpair have no audit event and are wrapped.
 """
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-_PATH = os.environ.get("PUFFINPOST_AUDIT", "")
-_STARTS = {
+_RECORDS_PATH = os.environ.get("PUFFINPOST_AUDIT", "")
+_PROCESS_START_EVENTS = {
     "os.fork",
     "os.forkpty",
     "os.posix_spawn",
@@ -27,32 +27,32 @@
 }
 
 
-def _note(what: str, **more: Any) -> None:
-    with Path(_PATH).open("a") as out:  # one line a write, so a record survives a process that is killed
+def _record(what: str, **more: Any) -> None:
+    with Path(_RECORDS_PATH).open("a") as out:  # one write per line, so that records survive a kill
         out.write(json.dumps({"what": what, **more}) + "\n")
 
 
-def _hook(event: str, args: tuple[Any, ...]) -> None:
+def _audit_hook(event: str, args: tuple[Any, ...]) -> None:
     if event == "socket.__new__":
-        _note("socket", family=int(args[1]), type=int(args[2]))
-    elif event in _STARTS:
-        _note("start", call=event)
+        _record("socket", family=int(args[1]), type=int(args[2]))
+    elif event in _PROCESS_START_EVENTS:
+        _record("start", call=event)
 
 
-def _wrapped(owner: Any, name: str) -> None:
-    inner = getattr(owner, name, None)
-    if inner is None:
+def _wrap(owner: Any, name: str) -> None:
+    original = getattr(owner, name, None)
+    if original is None:
         return
 
     def call(*args: Any, **kwargs: Any) -> Any:
-        _note("refused", call=name)
-        return inner(*args, **kwargs)
+        _record("refused", call=name)
+        return original(*args, **kwargs)
 
     setattr(owner, name, call)
 
 
-if _PATH:
-    sys.addaudithook(_hook)
+if _RECORDS_PATH:
+    sys.addaudithook(_audit_hook)
     calls = ((os, "sendfile"), (os, "splice"), (socket, "socketpair"), (socket.socket, "sendfile"))
     for _owner, _name in calls:
-        _wrapped(_owner, _name)
+        _wrap(_owner, _name)
--- a/tests/test_told.py
+++ b/tests/test_fleet_traces.py
@@ -1,4 +1,4 @@
-"""What is read out of the traces of a fleet."""
+"""Late requests and redirect times that ``bench.told`` computes from the logs of a fleet."""
 
 from __future__ import annotations
 
@@ -33,17 +33,21 @@
 """
 
 
-def test_requests_are_late_by_what_any_node_knew(tmp_path: Path) -> None:
+def test_request_is_late_if_any_node_had_been_notified_of_the_change(tmp_path: Path) -> None:
     (tmp_path / "n0.log").write_text(NOTIFIED)
     (tmp_path / "n1.log").write_text(NOT_NOTIFIED)
     fleet = Fleet()
     for path in sorted(tmp_path.glob("*.log")):
         fleet.read(path)
-    assert [(at, it.request_id, it.node, it.got_through) for at, it in fleet.late_requests()] == [
+    assert [
+        (late_ms, request.request_id, request.node, request.got_through)
+        for late_ms, request in fleet.late_requests()
+    ] == [
         (700, "0c", "n1", False),
         (700, "0e", "n1", True),
         (600, "0b", "n1", True),
     ]
     assert len(fleet.requests) == 6
-    # The call that was out when n0 reloaded is another discovery's. n0 logs as earlier versions did.
+    # The call in progress when n0 reloaded went to the previous discovery, so its answer does not count.
+    # The log of n0 has the format of earlier versions.
     assert fleet.redirects_ms == [2100, 700]
