--- a/tests/test_lifecycle_races.py
+++ b/tests/test_lifecycle_races.py
@@ -393,9 +393,9 @@
     process, port, config = start_unready(deployment)
     with (deployment.folder / "config.pipe").open("wb") as pipe:  # returns once the node has opened its end
         process.send_signal(early_signal)
-        second_config = deployment.folder / "again.json"
-        second_config.write_text(json.dumps(config))
-        second_config.replace(deployment.folder / "config.pipe")  # for the read on reload
+        second_config_path = deployment.folder / "again.json"
+        second_config_path.write_text(json.dumps(config))
+        second_config_path.replace(deployment.folder / "config.pipe")  # for the read on reload
         pipe.write(json.dumps(config).encode())
     if early_signal is signal.SIGHUP:
         give_up_at = time.monotonic() + WAIT_TIMEOUT_S
