--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,8 +9,7 @@
 from conftest import Deployment
 from stand_ins import NodeProcess, SocketPeer
 from test_mqtt import MqttWorld
-from test_node import OPEN, first_of, fresh
-from test_node import served as served_on_lines
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment, open_request
 
 from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
@@ -24,7 +23,7 @@
 
 
 def unhurt(deployment: Deployment, node: NodeProcess) -> None:
-    served_on_lines(deployment, node.connect(fresh(OPEN % 3000)))
+    establish_request(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert node.process.poll() is None
 
 
@@ -32,7 +31,7 @@
     "sent",
     [
         b"GARBAGE\r\n",
-        fresh(OPEN % 3000).replace(b"d=3000", b"d=soon"),
+        with_new_id(OPEN_LINE % 3000).replace(b"d=3000", b"d=soon"),
         b"x" * 5000,
         b"OPEN \xff\r\n",
     ],
@@ -83,8 +82,8 @@
 def test_a_bad_line_of_a_transcriber(deployment: Deployment, stands: bool) -> None:
     """Before it stands the client is served elsewhere, for its class may be repeated."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    server, relay = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    server, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     if stands:
         relay.send(b"UP 1\r\n")
@@ -96,7 +95,7 @@
     if stands:
         assert client.wait_for_close() == "reset"
     else:
-        served_on_lines(deployment, client)
+        establish_request(deployment, client)
     unhurt(deployment, node)
 
 
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -17,7 +17,7 @@
 )
 from conftest import Deployment
 from stand_ins import NodeProcess
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 from puffinpost.admin.ban_file import BanFile
 from puffinpost.balancing.actions import CheckHealth, Migrate, StartAttempt
@@ -30,13 +30,13 @@
 
 def assert_rejected(node: NodeProcess) -> None:
     """A client is rejected, because no endpoint may serve it."""
-    assert node.connect(fresh(OPEN % 700)).read_line().startswith(b"BUSY")
+    assert node.connect(with_new_id(OPEN_LINE % 700)).read_line().startswith(b"BUSY")
 
 
 def test_banned_endpoint_gets_no_attempt_until_the_ban_is_lifted(deployment: Deployment) -> None:
     node = deployment.start(1)
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     assert set_ban(node, 0) == 200 and set_ban(node, 0) == 200
     assert client.read_line() == b"MOVE\r\n" and upstream.wait_for_close() == "end"
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)  # the list cannot lift it
@@ -45,8 +45,8 @@
         not deployment.endpoints[0].has_pending_connection() and node.read_metrics()["out_of_rotation"] == 1
     )
     assert set_ban(node, 0, "enable") == 200 and set_ban(node, 0, "enable") == 200
-    client = node.connect(fresh(OPEN % 3000))
-    assert served(deployment, client) and node.read_metrics()["out_of_rotation"] == 0
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    assert establish_request(deployment, client) and node.read_metrics()["out_of_rotation"] == 0
 
 
 def test_ban_of_an_unknown_endpoint_is_rejected(deployment: Deployment) -> None:
@@ -54,8 +54,8 @@
     for name in ("s-9", "s-%39"):
         assert node.request_admin("POST", f"/transcribers/disable/{name}")[0] == 404
     assert node.request_admin("GET", "/transcribers/disable/s-0")[0] == 405
-    client = node.connect(fresh(OPEN % 3000))
-    assert served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    assert establish_request(deployment, client)
 
 
 def test_ban_outlives_endpoint_list_and_process(deployment: Deployment) -> None:
@@ -66,12 +66,12 @@
     assert node.stop() == 0
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
     again = deployment.start()
-    clients = [again.connect(fresh(OPEN % 3000)) for _ in range(8)]
-    upstreams = [served(deployment, client) for client in clients]
+    clients = [again.connect(with_new_id(OPEN_LINE % 3000)) for _ in range(8)]
+    upstreams = [establish_request(deployment, client) for client in clients]
     assert not deployment.endpoints[0].has_pending_connection() and len(upstreams) == 8
     assert set_ban(again, 0, "enable") == 200 and set_ban(again, 1) == 200
-    late = again.connect(fresh(OPEN % 3000))
-    assert first_of(deployment.endpoints[:1]) and late
+    late = again.connect(with_new_id(OPEN_LINE % 3000))
+    assert accept_attempt(deployment.endpoints[:1]) and late
 
 
 def test_two_processes_follow_one_ban_file(deployment: Deployment) -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import ROOT, NodeProcess, read_http_response
-from test_node import OPEN, fresh, served
+from test_node import OPEN_LINE, establish_request, with_new_id
 
 COUNTS = [
     f"operations.{name}.{outcome}"
@@ -67,8 +67,8 @@
     while node.request_admin("GET", "/ready")[0] != 200:
         assert time.monotonic() < until
         time.sleep(0.01)
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     node.process.terminate()
     while node.request_admin("GET", "/ready")[0] != 503:
         assert time.monotonic() < until
@@ -82,9 +82,9 @@
     assert list(first)[:6] == COUNTS and all(first[name] == 0 for name in COUNTS)
     assert {first[name] for name in ("relayed", "cfg_accepted", "cfg_invalid", "open_requests")} == {0}
     assert first["registry_entries"] == 2 and first["out_of_rotation"] == 0
-    clients = [node.connect(fresh(OPEN % 3000)) for _ in range(2)]
-    upstreams = [served(deployment, client) for client in clients[:1]]
-    refused = node.connect(fresh(OPEN % 3000).replace(b"live-text", b"once"))
+    clients = [node.connect(with_new_id(OPEN_LINE % 3000)) for _ in range(2)]
+    upstreams = [establish_request(deployment, client) for client in clients[:1]]
+    refused = node.connect(with_new_id(OPEN_LINE % 3000).replace(b"live-text", b"once"))
     node.wait_for_metric("relayed", 3)
     after = node.read_metrics()
     assert after["open_requests"] == 3 and after["operations.live-text.fulfilled"] == 1
@@ -120,16 +120,16 @@
         began = time.monotonic()
         assert node.request_admin("GET", "/metrics")[0] == 200
         assert time.monotonic() - began < 1
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     assert half and mute and node.process.poll() is None and upstream
 
 
 def test_inherited_listening_socket_is_adopted_and_outlives_the_node(deployment: Deployment) -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=64) as held:
         node = deployment.start(inherited_listener=held)
-        client = node.connect(fresh(OPEN % 3000))
-        upstream = served(deployment, client)
+        client = node.connect(with_new_id(OPEN_LINE % 3000))
+        upstream = establish_request(deployment, client)
         assert node.stop() == 0 and upstream.wait_for_close() == "end"
         late = node.connect(b"PING\r\n")  # it is not refused: it waits for the next process
         again: NodeProcess = deployment.start(inherited_listener=held)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 from test_endings import establish_at, have_no_attempts, wait_for_list
 from test_mqtt import OPEN as MQTT_OPEN
 from test_mqtt import MqttWorld
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 from puffinpost.balancing.poll_schedule import DISCOVERY_QUEUE_TIMEOUT_NS, PROPAGATION_LIMIT_NS
 
@@ -51,7 +51,7 @@
     resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, limits)
     if not spare:
         assert {client.read_line() for client in clients} == {b"PONG\r\n"}
-    served(deployment, node.connect(fresh(OPEN % 3000)))
+    establish_request(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert node.process.poll() is None
 
 
@@ -72,7 +72,7 @@
     node.process.send_signal(signal.SIGSTOP)
     for asks in (True, False) if asks_first else (False, True):
         if asks:
-            resting[0].send(fresh(OPEN % 3000))
+            resting[0].send(with_new_id(OPEN_LINE % 3000))
         else:
             fourth.send(b"PING\r\n")
     node.process.send_signal(signal.SIGCONT)
@@ -82,7 +82,7 @@
         said = resting[0].read_line()
     except TimeoutError:  # it has a place: its relay waits for the transcriber
         resting[0].socket.settimeout(WAIT_TIMEOUT_S)
-        served(deployment, resting[0])
+        establish_request(deployment, resting[0])
         return
     assert said.startswith(b"BUSY") and resting[0].wait_for_close() == "end" and resting[0].buffer == b""
     assert have_no_attempts(*deployment.endpoints) and node.read_counters().get("relays", 0) == 0
@@ -101,12 +101,12 @@
     else:
         phone.publish("open", MQTT_OPEN % 1, correlation_data=b"c")
         phone.flush()
-        relay = first_of(deployment.endpoints)[1]
+        relay = accept_attempt(deployment.endpoints)[1]
         relay.read_line()
     if when == "between attempts":
         # The next one goes out at once, and the one after that fails too: from then on it is held back.
         relay.send(b"ERR\r\n")
-        relay = first_of(deployment.endpoints)[1]
+        relay = accept_attempt(deployment.endpoints)[1]
         relay.read_line()
         front.node.process.send_signal(signal.SIGSTOP)  # both come in one turn
         relay.send(b"ERR\r\n")
--- a/tests/test_drain_rule.py
+++ b/tests/test_drain_rule.py
@@ -17,7 +17,7 @@
 from balancer_harness import BALANCER_SETTINGS
 from conftest import Deployment
 from stand_ins import SETTINGS, NodeProcess, SocketPeer, StandInDiscovery, StandInEndpoint
-from test_node import OPEN, first_of, fresh
+from test_node import OPEN_LINE, accept_attempt, with_new_id
 from test_reload import is_migrated
 
 from puffinpost.balancing.poll_schedule import PollSchedule
@@ -457,8 +457,8 @@
 def test_pushed_lists_are_polled_from_the_local_agent(deployment: Deployment) -> None:
     """Where settings say so the decisions wait for lists to come; on sockets somebody has to fetch them."""
     node = deployment.start(settings={"Discovery": "pushed"})
-    client = node.connect(fresh(OPEN % 3000))
-    server, relay = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    server, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     relay.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
@@ -546,7 +546,7 @@
         time.sleep(0.05)  # the next change comes just after the answer that this one makes
         discovery.put(leaves, "draining")
         for _ in range(24):
-            clients.append(node.connect(fresh(OPEN % 500)))
+            clients.append(node.connect(with_new_id(OPEN_LINE % 500)))
             time.sleep(0.03)
     assert discovery.rule.requests_sent > 60
     assert (discovery.rule.violations != []) is planted, discovery.rule.violations
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,7 +32,7 @@
     StandInEndpoint,
     free_port,
 )
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 from puffinpost.cluster.replication_store import ReplicaStore
 from puffinpost.cluster.replication_writer import ReplicaWriter
@@ -76,7 +76,7 @@
     """Establishes so many clients one after another at this endpoint; the upstream connections."""
     kept = []
     for _ in range(count):
-        client = node.connect(fresh(OPEN % 3000))
+        client = node.connect(with_new_id(OPEN_LINE % 3000))
         kept.append(server.accept())
         kept[-1].read_line()
         kept[-1].send(b"UP 1\r\n")
@@ -95,7 +95,7 @@
     deployment.endpoints[0] = held
     node = deployment.start(endpoint_count=1, settings=SLOW_DIALS)
     wait_for_list(deployment.discovery)
-    client = node.connect(fresh(OPEN % 8000))
+    client = node.connect(with_new_id(OPEN_LINE % 8000))
     node.wait_for_counter("relays", 1)
     deployment.discovery.set_endpoint("s-1", other.address)
     if change in ("draining", "removed"):
@@ -124,7 +124,7 @@
     deployment.endpoints[0] = first
     node = deployment.start(endpoint_count=1, settings={**SLOW_DIALS, "Classes": keyed})
     began = time.monotonic()
-    client = node.connect(fresh(OPEN % 3900))
+    client = node.connect(with_new_id(OPEN_LINE % 3900))
     upstream = first.accept()
     upstream.read_line()
     deployment.discovery.set_endpoint("s-1", held.address)
@@ -141,7 +141,7 @@
 def test_client_that_disconnects_during_the_connect_is_not_forwarded(deployment: Deployment) -> None:
     held = deployment.endpoints[0] = UnacceptingServer()
     node = deployment.start(endpoint_count=1, settings=SLOW_DIALS)
-    client = node.connect(fresh(OPEN % 8000))
+    client = node.connect(with_new_id(OPEN_LINE % 8000))
     node.wait_for_counter("relays", 1)
     client.close()
     node.wait_for_counter("gone", 1)
@@ -159,8 +159,8 @@
 ) -> None:
     """Also after it wrote much: if that were left unread, the end of the connection would not be seen."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000) + behind)
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000) + behind)
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     client.close(how)
     assert upstream.wait_for_close() in ("end", how)
@@ -171,8 +171,8 @@
 def test_final_bytes_of_a_client_reach_an_endpoint_that_writes_at_that_moment(deployment: Deployment) -> None:
     """The node is stopped while both sides write and the client closes, so that unread bytes are pending."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     upstream.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
@@ -187,8 +187,8 @@
 def test_client_that_sends_without_end_before_its_answer_is_answered(deployment: Deployment) -> None:
     """The buffer of one client is bounded, and its connection ends with an answer."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     client.socket.setblocking(False)
     sent = 0
@@ -212,7 +212,7 @@
     node.process.terminate()
     for it in rests:
         assert it.read_line().startswith(b"BUSY")
-        it.send(fresh(OPEN % 3000))
+        it.send(with_new_id(OPEN_LINE % 3000))
         assert it.wait_for_close() == "end" and it.buffer == b""
     assert node.process.wait(WAIT_TIMEOUT_S) == 0 and have_no_attempts(*deployment.endpoints)
 
@@ -296,10 +296,10 @@
     """The process is stopped while the client connects and writes, and has SIGTERM before it continues."""
     node = deployment.start()
     node.process.send_signal(signal.SIGSTOP)
-    client = node.connect(fresh(OPEN % 2000))
+    client = node.connect(with_new_id(OPEN_LINE % 2000))
     node.process.terminate()
     node.process.send_signal(signal.SIGCONT)
-    upstream = served(deployment, client)
+    upstream = establish_request(deployment, client)
     assert (
         client.read_line() == b"MOVE\r\n"
         and client.wait_for_close() == "end"
@@ -310,8 +310,8 @@
 
 def test_repeated_sigterm_has_no_effect(deployment: Deployment) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     node.process.terminate()
     assert select.select([client.socket], [], [], 0.6)[0] == []
     node.process.terminate()
@@ -324,8 +324,8 @@
 
 def test_move_is_sent_between_lines_while_both_sides_are_mid_line(deployment: Deployment) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     client.send(b"half a line")
     upstream.send(b"whole\r\nhalf of the answer")
     assert client.read_line() == b"whole\r\n"
@@ -392,8 +392,8 @@
     """Where answers hold load reports, most arrive with the final answer of established connections."""
     report = {"Source": "inline", "Fields": ["x0", "concurrent"]}
     node = deployment.start(settings={"Report": report}, edge="[log]\ntrace = true\n")
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     upstream.send(b"BYE x0=0.5,concurrent=3\r\n")
     upstream.close()
     assert client.read_line() == b"BYE x0=0.5,concurrent=3\r\n" and client.wait_for_close() == "end"
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -8,7 +8,7 @@
 from conftest import Deployment
 from stand_ins import StandInEndpoint
 from test_endings import have_no_attempts, wait_for_list
-from test_node import OPEN, fresh
+from test_node import OPEN_LINE, with_new_id
 from test_reload import is_migrated
 
 from puffinpost.balancing.events import EndpointStatus
@@ -86,7 +86,7 @@
     first, spare = deployment.endpoints
     node = deployment.start(endpoint_count=1)
     wait_for_list(deployment.discovery)
-    client = node.connect(fresh(OPEN % 3000))
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
     attempt = first.accept()
     attempt.read_line()
     attempt.send(b"UP 1\r\n")
@@ -99,7 +99,7 @@
     wait_for_list(deployment.discovery)
     assert is_migrated(client)
     for _ in range(3):
-        other = node.connect(fresh(OPEN % 3000))
+        other = node.connect(with_new_id(OPEN_LINE % 3000))
         attempts.append(spare.accept())
         attempts[-1].read_line()
         attempts[-1].send(b"UP 2\r\n")
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S, SocketPeer, StandInEndpoint
-from test_node import OPEN, fresh, served
+from test_node import OPEN_LINE, establish_request, with_new_id
 
 
 class Collector:
@@ -74,7 +74,7 @@
 
 
 def finish(deployment: Deployment, client: SocketPeer, back: bytes = b"") -> None:
-    relay = served(deployment, client)
+    relay = establish_request(deployment, client)
     client.send(b"123456\r\n")
     assert relay.read_line() == b"123456\r\n"
     relay.send(back + b"BYE\r\n")
@@ -86,10 +86,10 @@
     server = StandInEndpoint()
     node = deployment.start(endpoint_count=1, edge=edge(server.address))
     before = time.time_ns() // 1_000_000
-    client = node.connect(fresh(OPEN % 3000))
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
     source = client.socket.getsockname()
     finish(deployment, client, b"abc\r\n")
-    refused = node.connect(OPEN % 300)  # never stood, so it is no flow
+    refused = node.connect(OPEN_LINE % 300)  # never stood, so it is no flow
     relay = deployment.endpoints[0].accept()
     relay.read_line()
     assert refused.read_line().startswith(b"BUSY") and relay.wait_for_close() == "end"
@@ -101,7 +101,7 @@
     assert record[0, 12] == b"\x7f\0\0\1" and read_uint(record[0, 11]) == deployment.endpoints[0].port
     assert read_uint(record[0, 1]) == 8 and read_uint(record[29305, 1]) == 5 + 5
     assert record[0, 96] == b"live-text" and record[0, 4] == b"\6" and record[0, 136] == b"\3"
-    finish(deployment, node.connect(fresh(OPEN % 3000)))
+    finish(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert len(collector.message()) == 1
     node.stop()
     assert "flows_sent=2" in node.log_path.read_text()
@@ -112,13 +112,13 @@
     server = StandInEndpoint()
     node = deployment.start(endpoint_count=1, edge=edge(server.address))
     if leaves:
-        finish(deployment, node.connect(fresh(OPEN % 3000)))
+        finish(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
         collector = Collector(server.accept())
         assert collector.message() == [] and len(collector.message()) == 1
         collector.peer.close("reset")
     server.socket.close()
     for _ in range(3):
-        finish(deployment, node.connect(fresh(OPEN % 3000)))
+        finish(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert node.stop() == 0
     assert "flows_dropped=3" in node.log_path.read_text()
 
@@ -126,11 +126,11 @@
 def test_a_reconnected_collector_receives_queued_records(deployment: Deployment) -> None:
     server = StandInEndpoint()
     node = deployment.start(endpoint_count=1, edge=edge(server.address))
-    finish(deployment, node.connect(fresh(OPEN % 3000)))
+    finish(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     first = Collector(server.accept())
     assert first.message() == [] and len(first.message()) == 1
     first.peer.close("reset")
-    finish(deployment, node.connect(fresh(OPEN % 3000)))
+    finish(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     again = Collector(server.accept())  # the templates come anew, and the sequence starts again
     assert again.message() == [] and len(again.message()) == 1
     until = time.monotonic() + WAIT_TIMEOUT_S
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -19,7 +19,7 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 from stand_ins import ALWAYS_HAND_OVER, ROOT, WAIT_TIMEOUT_S, NodeProcess, SocketPeer, free_port
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import CERTIFICATE, KEY
 
 from puffinpost.emulator.mqtt_device import MqttDevice
@@ -101,7 +101,7 @@
         self.subscribe()
         self.publish("open", OPEN % number, correlation_data=b"c")
         self.flush()
-        relay = first_of(deployment.endpoints)[1]
+        relay = accept_attempt(deployment.endpoints)[1]
         assert relay.read_line().startswith(b"OPEN ")
         relay.send(b"UP 7\r\n")
         self.until(lambda: bool(self.topics("answer")))
@@ -192,7 +192,7 @@
     phone.subscribe()
     phone.publish("open", OPEN % 1, correlation_data=b"c")
     phone.flush()
-    relay = first_of(deployment.endpoints)[1]
+    relay = accept_attempt(deployment.endpoints)[1]
     assert relay.read_line().startswith(b"OPEN ")
     if how != "same link":
         link.tell(*(("cut", "cut") if how == "new link" else ("freeze", "frozen")))
@@ -217,7 +217,7 @@
     phone.subscribe()
     phone.publish("open", (OPEN % 1).replace(b"live-text", b"once"), correlation_data=b"mine")
     phone.flush()
-    relay = first_of(deployment.endpoints)[1]
+    relay = accept_attempt(deployment.endpoints)[1]
     assert relay.read_line().startswith(b"OPEN ")
     phone.peer.close("reset")
     front.node.wait_for_counter("edge_detached", 1)
@@ -496,7 +496,7 @@
     try:
         assert ready.wait(WAIT_TIMEOUT_S)
         client.publish("puffinpost/open", OPEN % 1, qos=2)
-        relay = first_of(deployment.endpoints)[1]
+        relay = accept_attempt(deployment.endpoints)[1]
         assert relay.read_line().startswith(b"OPEN ")
         relay.send(b"UP 7\r\n")
         assert answered.wait(WAIT_TIMEOUT_S)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import SETTINGS, StandInDiscovery
-from test_node import OPEN, fresh, served
+from test_node import OPEN_LINE, establish_request, with_new_id
 
 from puffinpost.config import ConfigError, load, reload
 from puffinpost.discovery.endpoint_list import EndpointList
@@ -120,8 +120,8 @@
 @pytest.mark.parametrize("name", ["", "diktat-ü", "c=d", "d"])
 def test_class_of_any_name_is_served(deployment: Deployment, name: str) -> None:
     node = deployment.start(settings={"Classes": [{**LIVE, "Name": name}]})
-    line = fresh(OPEN % 3000).replace(b"live-text", name.encode())
-    assert served(deployment, node.connect(line))
+    line = with_new_id(OPEN_LINE % 3000).replace(b"live-text", name.encode())
+    assert establish_request(deployment, node.connect(line))
 
 
 def test_pushed_lists_are_polled_before_the_first_client(deployment: Deployment) -> None:
@@ -135,7 +135,7 @@
     deployment.discovery.listener, told = held.listener, deployment.discovery.snapshot
     node = deployment.start(endpoint_count=0, settings={"Discovery": "pushed"})
     assert told()["endpoints"][0]["status"] == "up"
-    client = node.connect(fresh(OPEN % 600))
+    client = node.connect(with_new_id(OPEN_LINE % 600))
     assert client.read_line().startswith(b"BUSY") and not deployment.endpoints[0].has_pending_connection()
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,35 +16,34 @@
 from conftest import Deployment
 from stand_ins import ROOT, SETTINGS, WAIT_TIMEOUT_S, SocketPeer, StandInEndpoint
 
-OPEN = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=live-text,d=%d,g=5c0f6e1a2b3d4c59\r\n"
+# The first line of a request, with its time to the deadline in ms left open.
+OPEN_LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=live-text,d=%d,g=5c0f6e1a2b3d4c59\r\n"
+REQUEST_IDS = itertools.count(0x9B1F03AA5C7E2D42)
 
 
-IDS = itertools.count(0x9B1F03AA5C7E2D42)
+def with_new_id(line: bytes) -> bytes:
+    """Returns the same first line with an unused request id."""
+    return line.replace(OPEN_LINE.split()[1], b"%x" % next(REQUEST_IDS))
 
 
-def fresh(line: bytes) -> bytes:
-    """The same first line, with an id of its own."""
-    return line.replace(OPEN.split()[1], b"%x" % next(IDS))
+# A stand-in's socket is closed once nothing refers to it: a test keeps a reference while it must stay open.
 
 
-# A stand-in's socket closes when nothing names it any more: what must stay open is kept in a name.
+def accept_attempt(endpoints: list[StandInEndpoint]) -> tuple[StandInEndpoint, SocketPeer]:
+    """Accepts the next attempt at any of the endpoints; returns its endpoint and the connection."""
+    ready = select.select([endpoint.socket for endpoint in endpoints], [], [], WAIT_TIMEOUT_S)[0]
+    assert ready, "no attempt was made"
+    endpoint = next(endpoint for endpoint in endpoints if endpoint.socket in ready)
+    return endpoint, endpoint.accept()
 
 
-def first_of(servers: list[StandInEndpoint]) -> tuple[StandInEndpoint, SocketPeer]:
-    """The transcriber that a relay came to, and the relay."""
-    ready = select.select([server.socket for server in servers], [], [], WAIT_TIMEOUT_S)[0]
-    assert ready, "no relay came"
-    server = next(server for server in servers if server.socket in ready)
-    return server, server.accept()
-
-
-def served(deployment: Deployment, client: SocketPeer) -> SocketPeer:
-    """Lets a client's relay come up."""
-    _, relay = first_of(deployment.endpoints)
-    assert relay.read_line().startswith(b"OPEN ")
-    relay.send(b"UP 77\r\n")
+def establish_request(deployment: Deployment, client: SocketPeer) -> SocketPeer:
+    """Accepts the client's request at an endpoint and establishes it; returns the upstream connection."""
+    _, upstream = accept_attempt(deployment.endpoints)
+    assert upstream.read_line().startswith(b"OPEN ")
+    upstream.send(b"UP 77\r\n")
     assert client.read_line() == b"UP 77\r\n"
-    return relay
+    return upstream
 
 
 def test_a_front_is_answered_and_may_go_on_asking(deployment: Deployment) -> None:
@@ -57,10 +56,10 @@
 @pytest.mark.parametrize("step", [1, 7, 4096])
 def test_lines_pass_unchanged_however_they_are_split(deployment: Deployment, step: int) -> None:
     client = deployment.start().connect()
-    sent = OPEN % 2000 + b"early \xff\x00 line\r\nsecond\r\n"
+    sent = OPEN_LINE % 2000 + b"early \xff\x00 line\r\nsecond\r\n"
     for at in range(0, len(sent), step):
         client.send(sent[at : at + step])
-    _, relay = first_of(deployment.endpoints)
+    _, relay = accept_attempt(deployment.endpoints)
     head, _, wait = relay.read_line().partition(b",d=")
     assert head == b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=live-text"
     figure, _, rest = wait.partition(b",")
@@ -77,8 +76,8 @@
 
 @pytest.mark.parametrize("how", ["BUSY", "ERR", "end", "reset", "odd"])
 def test_a_relay_that_fails_is_closed_before_the_next(deployment: Deployment, how: str) -> None:
-    client = deployment.start().connect(OPEN % 3000)
-    first, relay = first_of(deployment.endpoints)
+    client = deployment.start().connect(OPEN_LINE % 3000)
+    first, relay = accept_attempt(deployment.endpoints)
     other = deployment.endpoints[1 - deployment.endpoints.index(first)]
     relay.read_line()
     assert not other.has_pending_connection()
@@ -87,7 +86,7 @@
     else:
         relay.send(how.encode() + b" x0=1\r\n")
         assert relay.wait_for_close() == "end"
-    again = served(deployment, client)
+    again = establish_request(deployment, client)
     assert not first.has_pending_connection() and not other.has_pending_connection()
     again.close()
 
@@ -99,7 +98,7 @@
 def test_one_final_answer_where_none_serves(
     deployment: Deployment, request_class: bytes, says: bytes, answer: bytes
 ) -> None:
-    client = deployment.start().connect((OPEN % 1500).replace(b"live-text", request_class))
+    client = deployment.start().connect((OPEN_LINE % 1500).replace(b"live-text", request_class))
     sockets = {server.socket: server for server in deployment.endpoints}
     relays = 0
     while client.socket not in (ready := select.select([client.socket, *sockets], [], [], WAIT_TIMEOUT_S)[0]):
@@ -114,7 +113,7 @@
 
 
 def test_a_silent_transcriber_does_not_cost_the_answer(deployment: Deployment) -> None:
-    client = deployment.start(endpoint_count=1).connect(OPEN % 700)
+    client = deployment.start(endpoint_count=1).connect(OPEN_LINE % 700)
     began = time.monotonic()
     relay = deployment.endpoints[0].accept()
     relay.read_line()
@@ -128,14 +127,14 @@
     [
         b"OPEN\r\n",
         b"GET / HTTP/1.1\r\n",
-        (OPEN % 9).replace(b"live-text", b"other"),
-        (OPEN % 9).replace(b"d=9,", b""),
-        (OPEN % 9).replace(b"d=9", b"d=-9"),
-        (OPEN % 9).replace(b"d=9", b"d="),
-        (OPEN % 9).replace(b"9b1f", b"zz"),
-        (OPEN % 9).replace(b"c=", b"at=nobody,c="),
+        (OPEN_LINE % 9).replace(b"live-text", b"other"),
+        (OPEN_LINE % 9).replace(b"d=9,", b""),
+        (OPEN_LINE % 9).replace(b"d=9", b"d=-9"),
+        (OPEN_LINE % 9).replace(b"d=9", b"d="),
+        (OPEN_LINE % 9).replace(b"9b1f", b"zz"),
+        (OPEN_LINE % 9).replace(b"c=", b"at=nobody,c="),
         b"OPEN " + 5000 * b"x",
-        (OPEN % 9).replace(b"d=9", b"d=9,d=8"),
+        (OPEN_LINE % 9).replace(b"d=9", b"d=9,d=8"),
     ],
 )
 def test_a_bad_first_line_is_answered_and_goes_nowhere(deployment: Deployment, line: bytes) -> None:
@@ -148,11 +147,11 @@
 @pytest.mark.parametrize("stands", [False, True])
 def test_a_client_that_leaves_ends_its_relay(deployment: Deployment, how: str, stands: bool) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
     if stands:
-        relay = served(deployment, client)
+        relay = establish_request(deployment, client)
     else:
-        _, relay = first_of(deployment.endpoints)
+        _, relay = accept_attempt(deployment.endpoints)
         relay.read_line()
     client.close(how)
     assert relay.wait_for_close() == (how if stands else "end") or not stands
@@ -163,14 +162,14 @@
 def test_a_transcriber_that_ends_a_connection_ends_it_north_the_same_way(
     deployment: Deployment, how: str
 ) -> None:
-    client = deployment.start().connect(OPEN % 3000)
-    served(deployment, client).close(how)
+    client = deployment.start().connect(OPEN_LINE % 3000)
+    establish_request(deployment, client).close(how)
     assert client.wait_for_close() == how
 
 
 def test_a_transcriber_that_falls_silent_loses_its_client_by_a_move(deployment: Deployment) -> None:
-    client = deployment.start().connect(OPEN % 3000)
-    relay = served(deployment, client)
+    client = deployment.start().connect(OPEN_LINE % 3000)
+    relay = establish_request(deployment, client)
     client.send(b"one\r\n")
     assert relay.read_line() == b"one\r\n"
     began = time.monotonic()
@@ -179,7 +178,7 @@
 
 
 def test_an_inherited_connection_goes_where_it_was(deployment: Deployment) -> None:
-    client = deployment.start().connect((OPEN % 4294967).replace(b"\r\n", b",at=s-1\r\n"))
+    client = deployment.start().connect((OPEN_LINE % 4294967).replace(b"\r\n", b",at=s-1\r\n"))
     relay = deployment.endpoints[1].accept()
     assert relay.read_line().endswith(b",at=s-1\r\n")
     relay.send(b"UP 1\r\n")
@@ -188,8 +187,8 @@
 
 def test_a_draining_transcriber_gets_nothing_new_and_its_clients_move(deployment: Deployment) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    first, relay = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    first, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     relay.send(b"UP 1\r\n")
     client.read_line()
@@ -200,7 +199,7 @@
         and relay.wait_for_close() == "end"
     )
     other = deployment.endpoints[1 - deployment.endpoints.index(first)]
-    clients = [node.connect(fresh(OPEN % 3000)) for _ in range(8)]
+    clients = [node.connect(with_new_id(OPEN_LINE % 3000)) for _ in range(8)]
     relays = [other.accept() for _ in clients]
     assert all(relay.read_line().startswith(b"OPEN ") for relay in relays)
     assert not first.has_pending_connection()
@@ -236,7 +235,7 @@
         peer.send(b"PONG x0=%s,concurrent=3\r\n" % (b"0.8" if index == 0 else b"0.1"))
         if client is None and seen == [True, True]:  # it asks once both have told
             node.wait_for_counter("probe_served", 2)
-            client = node.connect(fresh(OPEN % 3000))
+            client = node.connect(with_new_id(OPEN_LINE % 3000))
     assert index == 1 and seen == [True, True] and client is not None
     peer.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
@@ -247,9 +246,9 @@
     standing: list[SocketPeer] = []
     relays: list[SocketPeer] = []  # kept, for one that is dropped is closed
     for _ in range(3):
-        standing.append(node.connect(fresh(OPEN % 3000)))
-        relays.append(served(deployment, standing[-1]))
-    late = node.connect(fresh(OPEN % 3000))
+        standing.append(node.connect(with_new_id(OPEN_LINE % 3000)))
+        relays.append(establish_request(deployment, standing[-1]))
+    late = node.connect(with_new_id(OPEN_LINE % 3000))
     assert late.read_line() == b"BUSY 500\r\n" and late.wait_for_close() == "end"
 
 
@@ -259,8 +258,8 @@
     standing: list[SocketPeer] = []
     relays: list[SocketPeer] = []  # kept, for one that is dropped is closed
     for _ in range(4):
-        standing.append(node.connect(fresh(OPEN % 3000)))
-        relays.append(served(deployment, standing[-1]))
+        standing.append(node.connect(with_new_id(OPEN_LINE % 3000)))
+        relays.append(establish_request(deployment, standing[-1]))
     began = time.monotonic()
     node.process.terminate()
     assert not select.select([client.socket for client in standing], [], [], 1.0)[0] and relays
@@ -273,10 +272,10 @@
     standing: list[SocketPeer] = []
     relays: list[SocketPeer] = []  # kept, for one that is dropped is closed
     for _ in range(5):
-        standing.append(node.connect(fresh(OPEN % 3000)))
-        relays.append(served(deployment, standing[-1]))
-    waiting = node.connect(fresh(OPEN % 3000))
-    _, relay = first_of(deployment.endpoints)
+        standing.append(node.connect(with_new_id(OPEN_LINE % 3000)))
+        relays.append(establish_request(deployment, standing[-1]))
+    waiting = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     front = node.connect(b"PING\r\n")
     assert front.read_line() == b"PONG\r\n"
@@ -291,14 +290,14 @@
 def test_a_client_that_comes_after_sigterm_has_its_whole_time(deployment: Deployment) -> None:
     """Guards against an exit before the last answer is due: clients come for up to 0.4 s more."""
     node = deployment.start()
-    standing = node.connect(fresh(OPEN % 3000))
-    relay = served(deployment, standing)
+    standing = node.connect(with_new_id(OPEN_LINE % 3000))
+    relay = establish_request(deployment, standing)
     began = time.monotonic()
     node.process.terminate()
     while time.monotonic() - began < 0.35:
         select.select([], [], [], 0.01)
-    late = node.connect(fresh(OPEN % 3000))
-    relays = [first_of(deployment.endpoints)[1]]  # and all are silent
+    late = node.connect(with_new_id(OPEN_LINE % 3000))
+    relays = [accept_attempt(deployment.endpoints)[1]]  # and all are silent
     assert late.read_line().startswith(b"BUSY") and late.wait_for_close() == "end"
     assert node.process.wait(WAIT_TIMEOUT_S) == 0 and time.monotonic() - began < 3.7
     assert standing.read_line() == b"MOVE\r\n" and [it.wait_for_close() for it in (relay, *relays)] == [
@@ -311,8 +310,8 @@
     """A deadline counts as 3 s where it is longer, and SIGKILL may come 0.7 s after that."""
     classes = [{**item, "HardLimitNs": 4_800_000_000} for item in SETTINGS["Classes"]]
     node = deployment.start(settings={"Classes": classes})
-    client = node.connect(OPEN % 4800)
-    first = first_of(deployment.endpoints)  # and all are silent
+    client = node.connect(OPEN_LINE % 4800)
+    first = accept_attempt(deployment.endpoints)  # and all are silent
     began = time.monotonic()
     node.process.terminate()
     assert client.read_line().startswith(b"BUSY") and client.wait_for_close() == "end"
@@ -363,8 +362,8 @@
         deployment.discovery.wait_for_polls(3)
     kept: list[SocketPeer] = []
     while time.monotonic() < until:
-        kept.append(node.connect(fresh(OPEN % 3000)))
-        server, relay = first_of(deployment.endpoints)
+        kept.append(node.connect(with_new_id(OPEN_LINE % 3000)))
+        server, relay = accept_attempt(deployment.endpoints)
         kept.append(relay)
         if (
             server is deployment.endpoints[1]
@@ -376,8 +375,8 @@
 
 def test_a_client_that_does_not_read_slows_its_transcriber_and_nobody_else(deployment: Deployment) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    relay = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    relay = establish_request(deployment, client)
     relay.socket.settimeout(0.5)
     line, sent = b"x" * 4000 + b"\r\n", 0
     with pytest.raises(TimeoutError):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,7 @@
 from conftest import Deployment
 from stand_ins import SETTINGS, NodeProcess, SocketPeer, StandInDiscovery
 from test_endings import establish_at, have_no_attempts, wait_for_list
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 
 def is_migrated(client: SocketPeer) -> bool:
@@ -21,8 +21,8 @@
     """The new one counts from the start again, so its list is asked for whole."""
     deployment.discovery.index = 40
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    first, relay = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    first, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     relay.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
@@ -94,8 +94,8 @@
     deployment: Deployment, text: str, names: str
 ) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    relay = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    relay = establish_request(deployment, client)
     deployment.discovery.wait_for_polls(1)
     node.reload(text)
     assert names in node.log_path.read_text().rsplit("reload: ", 1)[1]
@@ -124,26 +124,29 @@
 
 
 def opening_of_class(name: str, wait: int = 3000) -> bytes:
-    return fresh(OPEN % wait).replace(b"live-text", name.encode())
+    return with_new_id(OPEN_LINE % wait).replace(b"live-text", name.encode())
 
 
 def test_classes_are_added_and_removed_while_connections_continue(deployment: Deployment) -> None:
     node = deployment.start()
     client = node.connect(opening_of_class("live-text"))
-    relay = served(deployment, client)
+    relay = establish_request(deployment, client)
     assert node.connect(opening_of_class("new")).read_line() == b"ERR\r\n"
     reload_settings(node, [ONCE, {**LIVE, "Name": "new"}])
     client.send(b"still here\r\n")
     assert relay.read_line() == b"still here\r\n"
     newcomer = node.connect(opening_of_class("new"))
-    assert served(deployment, newcomer)
+    assert establish_request(deployment, newcomer)
     assert node.connect(opening_of_class("live-text")).read_line() == b"ERR\r\n"
     figures = node.read_metrics()
     assert figures["operations.new.fulfilled"] == 1 and figures["operations.once.fulfilled"] == 0
     assert figures["operations.live-text.fulfilled"] == figures["operations.live-text.faulted"] == 1
     reload_settings(node, [LIVE, ONCE])
     again = node.connect(opening_of_class("live-text"))
-    assert served(deployment, again) and node.connect(opening_of_class("new")).read_line() == b"ERR\r\n"
+    assert (
+        establish_request(deployment, again)
+        and node.connect(opening_of_class("new")).read_line() == b"ERR\r\n"
+    )
 
 
 def test_a_stricter_idempotency_applies_to_new_requests_and_fewer_attempts_to_all(
@@ -156,13 +159,13 @@
         if effect == "unsafe":
             reload_settings(node, [{**LIVE, "Repeat": "unsafe"}, ONCE])
         clients.append(node.connect(opening_of_class("live-text")))
-        _, relay = first_of(deployment.endpoints)
+        _, relay = accept_attempt(deployment.endpoints)
         relay.read_line()
         ends.append(relay)
     ends[1].send(b"ERR\r\n")
     assert clients[1].read_line() == b"ERR\r\n"
     ends[0].send(b"ERR\r\n")
-    _, second = first_of(deployment.endpoints)
+    _, second = accept_attempt(deployment.endpoints)
     second.read_line()
     reload_settings(node, [LIVE, ONCE], AttemptsCap=2)
     second.send(b"ERR\r\n")
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S, NodeProcess, SocketPeer
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment
 
 SOON_S = 3.0
@@ -59,8 +59,8 @@
     node = deployment.start(sockets=80)
     silent = [node.connect(said) for _ in range(150)]
     began = time.monotonic()
-    client = node.connect(fresh(OPEN % 3000))
-    relay = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    relay = establish_request(deployment, client)
     assert time.monotonic() - began < 1
     ended = [peer for peer in silent if select.select([peer.socket], [], [], 0)[0]]
     assert len(ended) >= 100
@@ -71,7 +71,7 @@
 def test_a_slow_line_is_served_in_a_crowd_of_the_mute(deployment: Deployment, leaves: bool) -> None:
     """It takes 2 s to write; meanwhile others come by the hundred, and the process may be told to end."""
     node = deployment.start(sockets=80)
-    slow, line = node.connect(), fresh(OPEN % 3000)
+    slow, line = node.connect(), with_new_id(OPEN_LINE % 3000)
     crowd: list[SocketPeer] = []
     for at in range(0, len(line), 4):
         slow.send(line[at : at + 4])
@@ -80,7 +80,7 @@
         if leaves and at == 0:
             node.process.terminate()
         assert not select.select([slow.socket], [], [], 2.0 * 4 / len(line))[0]  # neither answered nor closed
-    relay = served(deployment, slow)
+    relay = establish_request(deployment, slow)
     assert len(crowd) > (7 if leaves else 100) and relay
 
 
@@ -97,7 +97,7 @@
     [
         b"GET / HTTP/1.1\r\n" * 6000,
         b"x" * 100_000,
-        OPEN % 3000 * 300,
+        OPEN_LINE % 3000 * 300,
         b"OPEN " + b"\r\n" * 5000,
     ],
     ids=["lines", "no end", "commands", "empty"],
@@ -126,9 +126,9 @@
 
 def test_the_id_of_an_open_message_is_an_error_until_that_ends(deployment: Deployment) -> None:
     node = deployment.start()
-    line = fresh(OPEN % 3000)
+    line = with_new_id(OPEN_LINE % 3000)
     client = node.connect(line)
-    _, waiting = first_of(deployment.endpoints)
+    _, waiting = accept_attempt(deployment.endpoints)
     waiting.read_line()
     assert node.connect(line).read_line() == b"ERR\r\n"
     waiting.send(b"UP 1\r\n")
@@ -141,7 +141,7 @@
     )
     client.close()
     assert waiting.wait_for_close() == "end"
-    served(deployment, node.connect(line))
+    establish_request(deployment, node.connect(line))
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
     ],
 )
 def test_a_field_against_the_protocol_goes_nowhere(deployment: Deployment, old: bytes, new: bytes) -> None:
-    line = OPEN % 9
+    line = OPEN_LINE % 9
     assert old in line
     client = deployment.start().connect(line.replace(old, new, 1))
     assert client.read_line() == b"ERR\r\n" and client.wait_for_close() == "end"
@@ -183,8 +183,8 @@
 def test_many_short_lines_before_a_connection_stands_cost_little(deployment: Deployment) -> None:
     """They are kept in order up to a bound, and all come to the transcriber once it is there."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    _, relay = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     began = time.monotonic()
     client.send(b"".join(b"%d\r\n" % number for number in range(20000)))
@@ -199,8 +199,8 @@
 def test_a_client_that_only_half_closes_reads_its_answer(
     deployment: Deployment, request_class: bytes, answer: bytes
 ) -> None:
-    client = deployment.start().connect((OPEN % 3000).replace(b"live-text", request_class))
-    _, relay = first_of(deployment.endpoints)
+    client = deployment.start().connect((OPEN_LINE % 3000).replace(b"live-text", request_class))
+    _, relay = accept_attempt(deployment.endpoints)
     relay.read_line()
     client.socket.shutdown(socket.SHUT_WR)
     assert (
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import SETTINGS
-from test_node import OPEN, first_of, fresh
+from test_node import OPEN_LINE, accept_attempt, with_new_id
 from test_reload import is_migrated
 
 LIMITS: dict[str, Any] = SETTINGS["Limits"]
@@ -38,11 +38,11 @@
 ) -> None:
     assert all(settings[key] != SETTINGS.get(key) for key in settings)
     node = deployment.start(settings=settings)
-    client = node.connect(fresh(OPEN % 3000))
-    server, relay = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    server, relay = accept_attempt(deployment.endpoints)
     while not relay.read_line().startswith(b"OPEN"):  # a probe: not said, which is no report
         relay.close()
-        server, relay = first_of(deployment.endpoints)
+        server, relay = accept_attempt(deployment.endpoints)
     relay.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
     deployment.discovery.set_endpoint(f"s-{deployment.endpoints.index(server)}", server.address, "draining")
--- a/tests/test_slixmpp.py
+++ b/tests/test_slixmpp.py
@@ -11,7 +11,7 @@
 import slixmpp
 from conftest import Deployment
 from test_mqtt import Link, asked, links
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import (
     CERTIFICATE,
     DOMAIN,
@@ -54,7 +54,7 @@
     iq = client.make_iq_set(ito=DOMAIN)
     iq.append(ElementTree.fromstring(f"<open xmlns='{SESSION_NAMESPACE}' class='live-text' wait='3000'/>"))
     asking = asyncio.ensure_future(iq.send(timeout=SHORT_S))  # type: ignore[no-untyped-call]
-    relay = (await in_thread(first_of, deployment.endpoints))[1]
+    relay = (await in_thread(accept_attempt, deployment.endpoints))[1]
     answer_iq(relay, await in_thread(negotiate_as_endpoint, relay), SESSION_UP)
     assert (await asking)["type"] == "result"
     for number in range(10):
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -10,7 +10,7 @@
 from conftest import Deployment
 from stand_ins import SETTINGS, StandInDiscovery, free_port
 from test_endings import establish_at, have_no_attempts
-from test_node import OPEN, first_of, fresh
+from test_node import OPEN_LINE, accept_attempt, with_new_id
 
 from puffinpost.balancing.poll_schedule import STARTUP_LIST_TIMEOUT_NS
 
@@ -69,8 +69,8 @@
     node.wait_for_log("listening for clients")
     assert time.monotonic() - began < STARTUP_LIST_TIMEOUT_NS / 1e9 + 1.5 < READY_S
     assert node.connect(b"PING\r\n").read_line() == b"PONG\r\n"
-    client = node.connect(fresh(OPEN % 3000))  # and it serves with the list that it has
-    upstream = first_of(deployment.endpoints)[1]
+    client = node.connect(with_new_id(OPEN_LINE % 3000))  # and it serves with the list that it has
+    upstream = accept_attempt(deployment.endpoints)[1]
     upstream.read_line()
     upstream.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 from balancer_harness import BALANCER_SETTINGS, BalancerHarness, endpoint_entry
 from conftest import Deployment
 from stand_ins import ALWAYS_HAND_OVER, SETTINGS, WAIT_TIMEOUT_S, NodeProcess, SocketPeer, free_port
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 from puffinpost.balancing.events import AttemptResult, HealthCheckCompleted
 
@@ -30,8 +30,8 @@
 def establish(deployment: Deployment, node: NodeProcess, count: int) -> list[tuple[SocketPeer, SocketPeer]]:
     established = []
     for _ in range(count):
-        client = node.connect(fresh(OPEN % 3000))
-        established.append((client, served(deployment, client)))
+        client = node.connect(with_new_id(OPEN_LINE % 3000))
+        established.append((client, establish_request(deployment, client)))
     return established
 
 
@@ -69,8 +69,8 @@
         assert client.read_line() == b"LOAD 41.5\r\n"
     exchange_line(pairs, b"after")
     assert new.read_counters()["load_notes"] == 4 and new.read_metrics()["relayed"] == 0
-    late = new.connect(fresh(OPEN % 3000))
-    assert served(deployment, late)
+    late = new.connect(with_new_id(OPEN_LINE % 3000))
+    assert establish_request(deployment, late)
     client, upstream = pairs[0]
     upstream.send(b"BYE\r\n")
     upstream.close()
@@ -83,17 +83,17 @@
     deployment: Deployment, inherited_listener: socket.socket
 ) -> None:
     old = deployment.start(inherited_listener=inherited_listener, settings=PATIENT_ONES)
-    line_ = fresh(OPEN % 8000)
+    line_ = with_new_id(OPEN_LINE % 8000)
     waiting = old.connect(line_)
     slow = old.connect(b"OPEN ")
-    _, upstream = first_of(deployment.endpoints)
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     new = deployment.start(inherited_listener=inherited_listener, settings=PATIENT_ONES)
     new.wait_until_ready()
     assert new.connect(line_).read_line() == b"ERR\r\n"  # two with one id
     old.process.terminate()
-    slow.send(fresh(OPEN % 8000)[5:])
-    other = first_of(deployment.endpoints)[1]
+    slow.send(with_new_id(OPEN_LINE % 8000)[5:])
+    other = accept_attempt(deployment.endpoints)[1]
     for each, client in ((other, slow), (upstream, waiting)):
         line = each.read_line() if each is other else b""
         each.send(b"UP 5\r\n")
@@ -105,7 +105,7 @@
     waiting.close()
     assert upstream.wait_for_close() == "end"
     new.wait_for_metric("open_requests", 1)
-    assert served(deployment, new.connect(line_))
+    assert establish_request(deployment, new.connect(line_))
 
 
 def test_successor_is_ready_only_with_its_own_list_and_the_predecessor_serves_until_then(
@@ -172,7 +172,7 @@
     new.wait_for_metric("out_of_rotation", 1)
     new.wait_for_metric("open_requests", 1)
     exchange_line(pairs, b"still here")
-    assert new.connect(fresh(OPEN % 3000)).read_line() == b"ERR\r\n"
+    assert new.connect(with_new_id(OPEN_LINE % 3000)).read_line() == b"ERR\r\n"
     assert new.read_metrics()["operations.live-text.faulted"] == 1
 
 
@@ -193,8 +193,8 @@
     deployment: Deployment, inherited_listener: socket.socket
 ) -> None:
     old = deployment.start(1, inherited_listener=inherited_listener, settings=PATIENT_ONES)
-    waiting = old.connect(fresh(OPEN % 8000))
-    _, upstream = first_of(deployment.endpoints)
+    waiting = old.connect(with_new_id(OPEN_LINE % 8000))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     new = deployment.start(1, inherited_listener=inherited_listener, settings=PATIENT_ONES)
     new.wait_until_ready()
--- a/tests/test_xmpp.py
+++ b/tests/test_xmpp.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import (
     ANONYMOUS_AUTH,
     BIND_REQUEST,
@@ -41,7 +41,7 @@
     sent = open_request(2000) + b"\n" + early
     for at in range(0, len(sent), step):
         client.send(sent[at : at + step])
-    _, relay = first_of(deployment.endpoints)
+    _, relay = accept_attempt(deployment.endpoints)
     asked = negotiate_as_endpoint(relay)
     found = re.search(rb"<open xmlns='urn:puffinpost:session:0' class='live-text' wait='(\d+)'", asked)
     assert found is not None and 0 < int(found.group(1)) < 2000
@@ -85,7 +85,7 @@
 def test_a_failure_has_its_condition(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment).connect_and_bind()
     client.send(open_request(2000, "once"))
-    _, relay = first_of(deployment.endpoints)
+    _, relay = accept_attempt(deployment.endpoints)
     answer_iq(relay, negotiate_as_endpoint(relay), INTERNAL_SERVER_ERROR, b"error")
     assert b"<error type='cancel'><service-unavailable " + STANZAS in client.read_until(b"</iq>")
     assert relay.wait_for_close() == "end" and not any(
@@ -99,7 +99,7 @@
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(700))
     began = time.monotonic()
-    _, relay = first_of(deployment.endpoints)
+    _, relay = accept_attempt(deployment.endpoints)
     if negotiates:
         negotiate_as_endpoint(relay)
     assert b"type='wait'" in client.read_until(b"</iq>")
@@ -112,7 +112,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    first = first_of(deployment.endpoints)
+    first = accept_attempt(deployment.endpoints)
     if stands:
         establish_session(deployment.endpoints, client, first)
     else:
@@ -137,7 +137,7 @@
     xmpp = XmppDeployment(deployment)
     client, jid = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    first = first_of(deployment.endpoints)
+    first = accept_attempt(deployment.endpoints)
     asked = negotiate_as_endpoint(first[1])
     if stands:
         answer_iq(first[1], asked, SESSION_UP)
@@ -170,7 +170,7 @@
         peer.read_until(b"<success " + SASL_XMLNS + b"/>")
         assert bind_resource(peer, b"phone") == b"ada@edge.test/phone"
         peer.send(open_request(3000))
-        relay = first_of(deployment.endpoints)[1]
+        relay = accept_attempt(deployment.endpoints)[1]
         peers.append((peer, relay, negotiate_as_endpoint(relay)))
         if len(peers) == 2:
             assert b"<conflict " in peers[0][0].read_until(b"</stream:stream>")
@@ -184,7 +184,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    first = first_of(deployment.endpoints)
+    first = accept_attempt(deployment.endpoints)
     relay = establish_session(deployment.endpoints, client, first)
     waiting, _ = xmpp.connect_and_bind()
     deployment.discovery.set_endpoint(
@@ -200,7 +200,7 @@
     again, _ = xmpp.connect_and_bind()
     for number, peer in enumerate((waiting, again)):
         peer.send(open_request(3000))
-        other, taken = first_of(deployment.endpoints)
+        other, taken = accept_attempt(deployment.endpoints)
         assert other is not first[0], number
         establish_session(deployment.endpoints, peer, (other, taken))
     assert not first[0].has_pending_connection()
@@ -210,7 +210,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    relay = establish_session(deployment.endpoints, client, first_of(deployment.endpoints))
+    relay = establish_session(deployment.endpoints, client, accept_attempt(deployment.endpoints))
     idle, _ = xmpp.connect_and_bind()
     xmpp.node.process.terminate()
     assert b"<move" in client.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
@@ -342,7 +342,7 @@
 def test_endpoints_are_reached_over_tls_where_configured(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment, upstream_tls=True).connect_and_bind()
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
+    relay = accept_attempt(deployment.endpoints)[1]
     answer_iq(relay, negotiate_as_endpoint(relay, tls=True), SESSION_UP)
     assert SESSION_UP in client.read_until(b"</iq>")
     client.send(b"<message><body>over</body></message>")
@@ -359,7 +359,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000, "once"))
-    first, relay = first_of(deployment.endpoints)
+    first, relay = accept_attempt(deployment.endpoints)
     relay.read_until(b"version='1.0'>")
     relay.send(STREAM_HEADER + b"<stream:features>" + offers + FEATURES_END)
     if not offers:
@@ -368,7 +368,7 @@
         assert (
             b"<policy-violation " in relay.read_until(b"</stream:stream>") and relay.wait_for_close() == "end"
         )
-    second, again = first_of(deployment.endpoints)
+    second, again = accept_attempt(deployment.endpoints)
     assert second is not first
     answer_iq(again, negotiate_as_endpoint(again), SESSION_UP)
     assert SESSION_NAMESPACE.encode() in client.read_until(b"</iq>")
--- a/tests/test_xmpp_managed.py
+++ b/tests/test_xmpp_managed.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S, SocketPeer
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import (
     BIND_REQUEST,
     FEATURES_END,
@@ -100,7 +100,7 @@
 
 def up(deployment: Deployment, client: Managed) -> SocketPeer:
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
+    relay = accept_attempt(deployment.endpoints)[1]
     answer_iq(relay, negotiate_as_endpoint(relay), SESSION_UP)
     assert SESSION_UP in client.stanza()
     return relay
@@ -145,7 +145,7 @@
 ) -> None:
     client = Managed(XmppDeployment(deployment))
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
+    relay = accept_attempt(deployment.endpoints)[1]
     asked = negotiate_as_endpoint(relay)
     lose(client)
     answer_iq(relay, asked, SESSION_UP)
@@ -165,7 +165,7 @@
 def test_a_repeated_open_joins_the_one_under_way(deployment: Deployment) -> None:
     client = Managed(XmppDeployment(deployment))
     client.send(open_request(3000))
-    relay = first_of(deployment.endpoints)[1]
+    relay = accept_attempt(deployment.endpoints)[1]
     asked = negotiate_as_endpoint(relay)
     client.send(open_request(3000))
     assert client.ask() == 2
