--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -24,8 +24,8 @@
 from puffinpost.balancing.events import EndpointBanChanged, EndpointListUpdate, ListUpdateKind
 
 
-def set_ban(node: NodeProcess, number: int, what: str = "disable") -> int:
-    return node.request_admin("POST", f"/transcribers/{what}/s-{number}")[0]
+def set_ban(node: NodeProcess, number: int, operation: str = "disable") -> int:
+    return node.request_admin("POST", f"/transcribers/{operation}/s-{number}")[0]
 
 
 def assert_rejected(node: NodeProcess) -> None:
@@ -39,7 +39,8 @@
     upstream = establish_request(deployment, client)
     assert set_ban(node, 0) == 200 and set_ban(node, 0) == 200
     assert client.read_line() == b"MOVE\r\n" and upstream.wait_for_close() == "end"
-    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)  # the list cannot lift it
+    # An update of the endpoint list does not lift the ban.
+    deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
     assert_rejected(node)
     assert (
         not deployment.endpoints[0].has_pending_connection() and node.read_metrics()["out_of_rotation"] == 1
@@ -58,19 +59,19 @@
     assert establish_request(deployment, client)
 
 
-def test_ban_outlives_endpoint_list_and_process(deployment: Deployment) -> None:
+def test_ban_survives_removal_from_the_list_and_a_process_restart(deployment: Deployment) -> None:
     node = deployment.start()
     assert set_ban(node, 0) == 200
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "removed")
     node.wait_for_metric("registry_entries", 1)
     assert node.stop() == 0
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
-    again = deployment.start()
-    clients = [again.connect(with_new_id(OPEN_LINE % 3000)) for _ in range(8)]
+    restarted = deployment.start()
+    clients = [restarted.connect(with_new_id(OPEN_LINE % 3000)) for _ in range(8)]
     upstreams = [establish_request(deployment, client) for client in clients]
     assert not deployment.endpoints[0].has_pending_connection() and len(upstreams) == 8
-    assert set_ban(again, 0, "enable") == 200 and set_ban(again, 1) == 200
-    late = again.connect(with_new_id(OPEN_LINE % 3000))
+    assert set_ban(restarted, 0, "enable") == 200 and set_ban(restarted, 1) == 200
+    late = restarted.connect(with_new_id(OPEN_LINE % 3000))
     assert accept_attempt(deployment.endpoints[:1]) and late
 
 
@@ -92,15 +93,15 @@
         path.unlink()
     else:
         path.write_text(damage)
-    until = time.monotonic() + 10
+    deadline = time.monotonic() + 10
     while not path.exists() or path.read_text() == damage:
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         time.sleep(0.01)
     assert list(json.loads(path.read_text())) == ["s-0"]
     assert_rejected(node)
 
 
-def test_ban_file_that_is_damaged_at_the_start_is_survived(tmp_path: Path) -> None:
+def test_ban_file_that_is_damaged_at_startup_is_replaced_by_an_empty_one(tmp_path: Path) -> None:
     BanFile(str(tmp_path), "n0").change("s-0", 5)
     path = next(tmp_path.glob("*.bans"))
     path.write_bytes(b"\xff\x00")
@@ -116,88 +117,89 @@
     assert set_ban(node, 0) == 500 and node.read_metrics()["out_of_rotation"] == 0
 
 
-# --- the decisions ----------------------------------------------------------------------------------
+# --- the balancer -----------------------------------------------------------------------------------
 
 
 def test_banned_endpoint_gets_no_request_and_no_health_check_and_its_connections_migrate() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    seen = {world.establish_request().endpoint for _ in range(8)}
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    seen = {harness.establish_request().endpoint for _ in range(8)}
     assert seen == {1, 2}
-    world.handle(EndpointBanChanged(1, True, world.now_ns))
-    got = world.advance(3 * S)
-    assert actions_of_type(got, Migrate) and not any(
-        probe.endpoint == 1 for probe in actions_of_type(got, CheckHealth)
+    harness.handle(EndpointBanChanged(1, True, harness.now_ns))
+    actions = harness.advance(3 * S)
+    assert actions_of_type(actions, Migrate) and not any(
+        check.endpoint == 1 for check in actions_of_type(actions, CheckHealth)
     )
-    world.handle(
+    harness.handle(
         EndpointListUpdate(
-            ListUpdateKind.FULL, (endpoint_entry(1, started_ns=world.now_ns), endpoint_entry(2))
+            ListUpdateKind.FULL, (endpoint_entry(1, started_ns=harness.now_ns), endpoint_entry(2))
         )
     )
-    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(8)} == {2}
-    assert world.balancer.excluded_count() == 1
+    assert {single_action(harness.send_request(), StartAttempt).endpoint for _ in range(8)} == {2}
+    assert harness.balancer.excluded_count() == 1
 
 
 @pytest.mark.parametrize("list_change", ["nothing", "a start", "a start later"])
 def test_endpoint_whose_ban_is_lifted_is_warming_up_and_gets_the_first_connection(list_change: str) -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2, zone=1))
-    for server in (1, 2):
-        world.report_load(server, 0.5, 4.0)
-    world.handle(EndpointBanChanged(2, True, world.now_ns))
-    world.advance(3 * S)
-    started_ns = world.now_ns
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2, zone=1))
+    for endpoint in (1, 2):
+        harness.report_load(endpoint, 0.5, 4.0)
+    harness.handle(EndpointBanChanged(2, True, harness.now_ns))
+    harness.advance(3 * S)
+    started_ns = harness.now_ns
     if list_change == "a start":
-        world.handle(
+        harness.handle(
             EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2, zone=1, started_ns=started_ns),))
         )
-    world.advance(4 * S)
-    world.handle(EndpointBanChanged(2, False, 0))
-    lifted_ns = world.now_ns
-    assert world.establish_request().endpoint == 2
-    assert world.establish_request().endpoint == 1  # one is enough to show that it is back
+    harness.advance(4 * S)
+    harness.handle(EndpointBanChanged(2, False, 0))
+    lifted_ns = harness.now_ns
+    assert harness.establish_request().endpoint == 2
+    assert harness.establish_request().endpoint == 1  # one connection shows that it serves again
     if list_change == "a start later":
-        world.handle(
+        harness.handle(
             EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(2, zone=1, started_ns=started_ns),))
         )
-    assert world.balancer.state.endpoints[2].warming_since_ns == (
+    assert harness.balancer.state.endpoints[2].warming_since_ns == (
         lifted_ns if list_change == "nothing" else started_ns
     )
 
 
-def test_ban_of_an_unlisted_endpoint_holds_once_it_is_listed() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1))
-    world.handle(EndpointBanChanged(3, True, world.now_ns))
-    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(3),)))
-    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(8)} == {1}
-    world.handle(EndpointBanChanged(3, False, 0))
-    assert single_action(world.send_request(), StartAttempt).endpoint == 3
+def test_ban_of_an_unlisted_endpoint_applies_once_it_is_listed() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1))
+    harness.handle(EndpointBanChanged(3, True, harness.now_ns))
+    harness.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(3),)))
+    assert {single_action(harness.send_request(), StartAttempt).endpoint for _ in range(8)} == {1}
+    harness.handle(EndpointBanChanged(3, False, 0))
+    assert single_action(harness.send_request(), StartAttempt).endpoint == 3
 
 
 def test_restarted_endpoint_keeps_its_learned_capacity() -> None:
     """Guards against an endpoint that is limited to a dozen connections until its reports show more."""
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
     for _ in range(12):
-        world.establish_request()
-    for number, held in ((1, 80.0), (2, 5.0)):
-        world.report_load(number, 0.5, held)
-    world.advance(S)
-    servers = world.balancer.state.endpoints
-    for number, fills in ((1, 160.0), (2, 0.0)):
-        world.handle(
-            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(number, started_ns=world.now_ns),))
+        harness.establish_request()
+    for number, connections in ((1, 80.0), (2, 5.0)):
+        harness.report_load(number, 0.5, connections)
+    harness.advance(S)
+    endpoints = harness.balancer.state.endpoints
+    for number, capacity in ((1, 160.0), (2, 0.0)):
+        harness.handle(
+            EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(number, started_ns=harness.now_ns),))
         )
         assert (
-            servers[number].reported_load,
-            servers[number].reported_connections,
-            servers[number].connection_capacity,
-        ) == (None, 0.0, fills)
-    # 0.6 of its capacity; 160 over 20 s, three times, with a margin; half a second's worth.
-    world.advance(10 * S)
+            endpoints[number].reported_load,
+            endpoints[number].reported_connections,
+            endpoints[number].connection_capacity,
+        ) == (None, 0.0, capacity)
+    # Warm-up factor 0.6; the fleet's rate is three times 160 connections over 20 s, of which 0.6 is used as
+    # a margin; tokens accumulate for half a second.
+    harness.advance(10 * S)
     rate = 160 / 20 * 0.6 * 3 * 0.6
-    assert world.balancer.slow_start.has_capacity(servers[1])
-    assert 4 <= servers[1].admission_tokens <= 0.5 * rate + 1
-    whole, part = divmod(servers[1].admission_tokens, 1.0)
-    assert whole == int(0.5 * rate - part) + 1
-    for _ in range(int(whole)):
-        assert world.balancer.slow_start.has_capacity(servers[1])
-        world.balancer.slow_start.on_attempt_started(servers[1])
-    assert not world.balancer.slow_start.has_capacity(servers[1])
+    assert harness.balancer.slow_start.has_capacity(endpoints[1])
+    assert 4 <= endpoints[1].admission_tokens <= 0.5 * rate + 1
+    whole_tokens, fraction = divmod(endpoints[1].admission_tokens, 1.0)
+    assert whole_tokens == int(0.5 * rate - fraction) + 1
+    for _ in range(int(whole_tokens)):
+        assert harness.balancer.slow_start.has_capacity(endpoints[1])
+        harness.balancer.slow_start.on_attempt_started(endpoints[1])
+    assert not harness.balancer.slow_start.has_capacity(endpoints[1])
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures met on simulated days, each without the bench."""
+"""Failures found on simulated days, each reproduced with the balancer alone, without the bench."""
 
 from dataclasses import replace
 
@@ -26,160 +26,162 @@
 )
 
 
-def loaded(world: BalancerHarness, server: int, count: int) -> None:
-    """Lets a server carry this many of the balancer's connections."""
-    while len(world.balancer.state.endpoints[server].requests) < count:
-        send = world.establish_request()
-        if send.endpoint != server:
-            world.end_attempt(world.last_request, 0, send.endpoint, AttemptResult.SERVED, finished=True)
-
-
-def test_connections_are_moved_off_a_server_gone_slow() -> None:
-    world = BalancerHarness()
-    loaded(world, 1, 30)
-    for server in (2, 3):
-        world.report_load(server, 0.3, 10.0)
-    world.advance(S)
-    moves = actions_of_type(world.report_load(1, 3.0, 30.0), Migrate)
-    assert 20 <= len(moves) <= 28  # from 3.0 down to 0.6 is four fifths of thirty
-    # Not again before a report can show it.
-    assert actions_of_type(world.report_load(1, 3.0, 30.0), Migrate) == []
-
-
-def test_nothing_is_moved_where_all_are_slow_alike_and_not_over() -> None:
-    world = BalancerHarness()
-    loaded(world, 1, 20)
-    for server in (2, 3):
-        world.report_load(server, 0.95, 10.0)
-    world.advance(S)
-    assert actions_of_type(world.report_load(1, 0.95, 20.0), Migrate) == []
-
-
-def test_an_overloaded_server_is_eased_even_where_there_is_no_room() -> None:
-    world = BalancerHarness()
-    loaded(world, 1, 40)
-    for server in (1, 2, 3):
-        world.report_load(server, 0.95, 10.0)
-    world.advance(2 * S)
-    moves = actions_of_type(world.report_load(1, 1.4, 40.0), Migrate)
-    assert 14 <= len(moves) <= 26  # from 1.4 down to 0.7 is half of forty
-
-
-def test_failing_set_ups_narrow_the_window_and_good_ones_widen_it() -> None:
-    world = BalancerHarness(replace(BALANCER_SETTINGS, max_attempts=2))
-    sends = [single_action(world.send_request(), StartAttempt) for _ in range(12)]
-    assert world.balancer.concurrency_limiter.limit == MAX_CONCURRENCY
+def establish_connections(harness: BalancerHarness, endpoint: int, count: int) -> None:
+    """Establishes requests until the endpoint has this many of the balancer's connections."""
+    while len(harness.balancer.state.endpoints[endpoint].requests) < count:
+        attempt = harness.establish_request()
+        if attempt.endpoint != endpoint:
+            harness.end_attempt(
+                harness.last_request, 0, attempt.endpoint, AttemptResult.SERVED, finished=True
+            )
+
+
+def test_connections_are_migrated_off_an_endpoint_that_becomes_slow() -> None:
+    harness = BalancerHarness()
+    establish_connections(harness, 1, 30)
+    for endpoint in (2, 3):
+        harness.report_load(endpoint, 0.3, 10.0)
+    harness.advance(S)
+    migrations = actions_of_type(harness.report_load(1, 3.0, 30.0), Migrate)
+    assert 20 <= len(migrations) <= 28  # from 3.0 down to 0.6 is four fifths of thirty
+    # No further migration before a load report can show the effect of these.
+    assert actions_of_type(harness.report_load(1, 3.0, 30.0), Migrate) == []
+
+
+def test_no_connection_migrates_if_all_endpoints_are_equally_slow_but_not_overloaded() -> None:
+    harness = BalancerHarness()
+    establish_connections(harness, 1, 20)
+    for endpoint in (2, 3):
+        harness.report_load(endpoint, 0.95, 10.0)
+    harness.advance(S)
+    assert actions_of_type(harness.report_load(1, 0.95, 20.0), Migrate) == []
+
+
+def test_connections_are_migrated_off_an_overloaded_endpoint_even_if_no_other_has_capacity() -> None:
+    harness = BalancerHarness()
+    establish_connections(harness, 1, 40)
+    for endpoint in (1, 2, 3):
+        harness.report_load(endpoint, 0.95, 10.0)
+    harness.advance(2 * S)
+    migrations = actions_of_type(harness.report_load(1, 1.4, 40.0), Migrate)
+    assert 14 <= len(migrations) <= 26  # from 1.4 down to 0.7 is half of forty
+
+
+def test_failed_attempts_lower_the_concurrency_limit_and_established_ones_raise_it() -> None:
+    harness = BalancerHarness(replace(BALANCER_SETTINGS, max_attempts=2))
+    attempts = [single_action(harness.send_request(), StartAttempt) for _ in range(12)]
+    assert harness.balancer.concurrency_limiter.limit == MAX_CONCURRENCY
     for number in range(8):
-        world.end_attempt(sends[number].request, 0, sends[number].endpoint, AttemptResult.ERROR)
-    assert world.balancer.concurrency_limiter.limit == 1.0
-    assert actions_of_type(world.send_request(), StartAttempt) == []  # no more than that at once
-    before = world.balancer.concurrency_limiter.pending_attempts
-    for send in sends[8:]:
-        world.handle(AttemptEstablished(send.request, 0, send.endpoint, MS))
-    assert world.balancer.concurrency_limiter.limit == 5.0
+        harness.end_attempt(attempts[number].request, 0, attempts[number].endpoint, AttemptResult.ERROR)
+    assert harness.balancer.concurrency_limiter.limit == 1.0
+    assert actions_of_type(harness.send_request(), StartAttempt) == []  # the limit is reached
+    pending_before = harness.balancer.concurrency_limiter.pending_attempts
+    for attempt in attempts[8:]:
+        harness.handle(AttemptEstablished(attempt.request, 0, attempt.endpoint, MS))
+    assert harness.balancer.concurrency_limiter.limit == 5.0
     assert (
-        before > world.balancer.concurrency_limiter.pending_attempts
-        or world.balancer.request_lifecycle.queue == {}
+        pending_before > harness.balancer.concurrency_limiter.pending_attempts
+        or harness.balancer.request_lifecycle.queue == {}
     )
 
 
-def test_a_server_that_fails_is_put_aside_and_comes_back() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    world.handle(HealthCheckCompleted(1, AttemptResult.TIMEOUT, 300 * MS))
-    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(10)} == {2}
-    world.report_load(1, 0.1, 1.0)
-    assert 1 in {single_action(world.send_request(), StartAttempt).endpoint for _ in range(10)}
-
-
-def test_a_probe_that_was_never_written_says_nothing_of_its_server() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    world.handle(HealthCheckCompleted(1, AttemptResult.SUPERSEDED, 300 * MS))
-    assert {single_action(world.send_request(), StartAttempt).endpoint for _ in range(10)} == {1, 2}
-
-
-def test_a_silent_candidate_is_passed_over() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    got = world.handle(RequestReceived(1, 0, world.now_ns + 2 * S))
-    assert {probe.endpoint for probe in actions_of_type(got, CheckHealth)} == {1, 2}
-    world.report_load(2, 0.7, 10.0)  # server 1 never answers
-    world.balancer.state.now_ns = world.now_ns
-    world.timers.sort()
-    sends: list[StartAttempt] = []
-    while not sends:
-        due = world.timers.pop(0)
-        world.now_ns = due[0]
-        sends = actions_of_type(world.handle(TimerFired(due[2])), StartAttempt)
-        world.timers.sort()
-    assert sends[0].endpoint == 2
-
-
-def test_a_delay_note_asks_for_the_servers_report() -> None:
-    world = BalancerHarness()
-    world.establish_request()
-    world.now_ns += 2 * S
-    assert actions_of_type(world.handle(DelayReported(1, 3, 400 * MS)), CheckHealth) == [CheckHealth(3)]
-    # Its answer is awaited.
-    assert actions_of_type(world.handle(DelayReported(1, 3, 400 * MS)), CheckHealth) == []
-
-
-def test_a_list_out_of_reach_is_asked_again_and_the_last_one_is_used() -> None:
-    world = BalancerHarness(replace(BALANCER_SETTINGS, endpoint_list_is_polled=True, balancer_count=10))
-    assert len(actions_of_type(world.advance(10 * S), PollEndpointList)) == 1
+def test_failing_endpoint_is_ejected_and_readmitted_after_a_load_report() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    harness.handle(HealthCheckCompleted(1, AttemptResult.TIMEOUT, 300 * MS))
+    assert {single_action(harness.send_request(), StartAttempt).endpoint for _ in range(10)} == {2}
+    harness.report_load(1, 0.1, 1.0)
+    assert 1 in {single_action(harness.send_request(), StartAttempt).endpoint for _ in range(10)}
+
+
+def test_health_check_that_was_never_sent_does_not_affect_its_endpoint() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    harness.handle(HealthCheckCompleted(1, AttemptResult.SUPERSEDED, 300 * MS))
+    assert {single_action(harness.send_request(), StartAttempt).endpoint for _ in range(10)} == {1, 2}
+
+
+def test_stalled_candidate_is_skipped() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    actions = harness.handle(RequestReceived(1, 0, harness.now_ns + 2 * S))
+    assert {check.endpoint for check in actions_of_type(actions, CheckHealth)} == {1, 2}
+    harness.report_load(2, 0.7, 10.0)  # endpoint 1 never answers
+    harness.balancer.state.now_ns = harness.now_ns
+    harness.timers.sort()
+    attempts: list[StartAttempt] = []
+    while not attempts:
+        timer = harness.timers.pop(0)
+        harness.now_ns = timer[0]
+        attempts = actions_of_type(harness.handle(TimerFired(timer[2])), StartAttempt)
+        harness.timers.sort()
+    assert attempts[0].endpoint == 2
+
+
+def test_reported_delay_triggers_a_health_check_of_the_endpoint() -> None:
+    harness = BalancerHarness()
+    harness.establish_request()
+    harness.now_ns += 2 * S
+    assert actions_of_type(harness.handle(DelayReported(1, 3, 400 * MS)), CheckHealth) == [CheckHealth(3)]
+    # The health check is still in flight.
+    assert actions_of_type(harness.handle(DelayReported(1, 3, 400 * MS)), CheckHealth) == []
+
+
+def test_failed_poll_is_retried_and_the_last_endpoint_list_stays_in_use() -> None:
+    harness = BalancerHarness(replace(BALANCER_SETTINGS, endpoint_list_is_polled=True, balancer_count=10))
+    assert len(actions_of_type(harness.advance(10 * S), PollEndpointList)) == 1
     for _ in range(5):
-        world.handle(EndpointListUpdate(ListUpdateKind.FAILED))
-        assert len(actions_of_type(world.advance(6 * S), PollEndpointList)) == 1
-    assert actions_of_type(world.send_request(), StartAttempt) != []
+        harness.handle(EndpointListUpdate(ListUpdateKind.FAILED))
+        assert len(actions_of_type(harness.advance(6 * S), PollEndpointList)) == 1
+    assert actions_of_type(harness.send_request(), StartAttempt) != []
 
 
-def test_the_list_is_asked_for_soon_after_a_start_and_after_a_failure() -> None:
-    """Guards against old news: what changes while nobody listens is acted on late."""
-    world = BalancerHarness(replace(BALANCER_SETTINGS, endpoint_list_is_polled=True, balancer_count=3))
-    assert len(actions_of_type(world.advance(1100 * MS), PollEndpointList)) == 1
+def test_endpoint_list_is_polled_soon_after_a_start_and_after_a_failed_poll() -> None:
+    """Guards against an outdated list: a change while no poll is in flight is applied late."""
+    harness = BalancerHarness(replace(BALANCER_SETTINGS, endpoint_list_is_polled=True, balancer_count=3))
+    assert len(actions_of_type(harness.advance(1100 * MS), PollEndpointList)) == 1
     gaps = []
     for _ in range(6):
-        world.handle(EndpointListUpdate(ListUpdateKind.FAILED))
-        began = world.now_ns
-        while actions_of_type(world.advance(5 * MS), PollEndpointList) == []:
-            assert world.now_ns < began + 10 * S
-        gaps.append(world.now_ns - began)
+        harness.handle(EndpointListUpdate(ListUpdateKind.FAILED))
+        began = harness.now_ns
+        while actions_of_type(harness.advance(5 * MS), PollEndpointList) == []:
+            assert harness.now_ns < began + 10 * S
+        gaps.append(harness.now_ns - began)
     assert gaps[0] <= 500 * MS and max(gaps) > 4 * gaps[0] and max(gaps) <= 2500 * MS
-    world.handle(EndpointListUpdate(ListUpdateKind.DELTA))
-    world.handle(EndpointListUpdate(ListUpdateKind.FAILED))
-    assert len(actions_of_type(world.advance(500 * MS), PollEndpointList)) == 1
+    harness.handle(EndpointListUpdate(ListUpdateKind.DELTA))
+    harness.handle(EndpointListUpdate(ListUpdateKind.FAILED))
+    assert len(actions_of_type(harness.advance(500 * MS), PollEndpointList)) == 1
 
 
-def test_balancers_spread_their_calls_for_the_list() -> None:
-    moments = set()
+def test_balancers_spread_their_polls_for_the_endpoint_list() -> None:
+    poll_times_ns = set()
     for seed in range(20):
-        world = BalancerHarness(
+        harness = BalancerHarness(
             replace(BALANCER_SETTINGS, endpoint_list_is_polled=True, balancer_count=20), seed=seed
         )
-        while actions_of_type(world.advance(50 * MS), PollEndpointList) == []:
-            assert world.now_ns < 20 * S
-        moments.add(world.now_ns)
-    assert len(moments) > 10
-
-
-def test_a_restarted_server_forgets_its_past_and_starts_cold() -> None:
-    world = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
-    world.report_load(1, 2.0, 10.0)
-    world.handle(HealthCheckCompleted(1, AttemptResult.TIMEOUT, MS))
-    world.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, started_ns=world.now_ns),)))
-    server = world.balancer.state.endpoints[1]
-    assert (server.reported_load, server.consecutive_failures, server.ejected_until_ns) == (None, 0, 0)
-    assert abs(world.balancer.capacity.warmup_factor(server) - 0.2) < 1e-9
-    world.now_ns += 10 * S
-    world.balancer.state.now_ns = world.now_ns
-    assert abs(world.balancer.capacity.warmup_factor(server) - 0.6) < 1e-9
-
-
-def test_a_clock_that_jumps_forward_is_survived() -> None:
-    world = BalancerHarness()
-    send = single_action(world.send_request(), StartAttempt)
-    world.now_ns += 3600 * S
-    got = world.advance(S)
-    assert len(actions_of_type(got, Reject) + actions_of_type(got, Fail)) == 1
-    assert actions_of_type(got, StartAttempt) == []
-    assert world.end_attempt(1, 0, send.endpoint, AttemptResult.TIMEOUT) == []
-    assert world.balancer.state.requests == {}
-    assert single_action(world.send_request(), StartAttempt).endpoint in (1, 2, 3)
+        while actions_of_type(harness.advance(50 * MS), PollEndpointList) == []:
+            assert harness.now_ns < 20 * S
+        poll_times_ns.add(harness.now_ns)
+    assert len(poll_times_ns) > 10
+
+
+def test_restarted_endpoint_loses_its_load_and_failures_and_warms_up() -> None:
+    harness = BalancerHarness(BALANCER_SETTINGS, endpoint_entry(1), endpoint_entry(2))
+    harness.report_load(1, 2.0, 10.0)
+    harness.handle(HealthCheckCompleted(1, AttemptResult.TIMEOUT, MS))
+    harness.handle(EndpointListUpdate(ListUpdateKind.DELTA, (endpoint_entry(1, started_ns=harness.now_ns),)))
+    endpoint = harness.balancer.state.endpoints[1]
+    assert (endpoint.reported_load, endpoint.consecutive_failures, endpoint.ejected_until_ns) == (None, 0, 0)
+    assert abs(harness.balancer.capacity.warmup_factor(endpoint) - 0.2) < 1e-9
+    harness.now_ns += 10 * S
+    harness.balancer.state.now_ns = harness.now_ns
+    assert abs(harness.balancer.capacity.warmup_factor(endpoint) - 0.6) < 1e-9
+
+
+def test_request_gets_one_final_answer_if_the_clock_jumps_forward() -> None:
+    harness = BalancerHarness()
+    attempt = single_action(harness.send_request(), StartAttempt)
+    harness.now_ns += 3600 * S
+    actions = harness.advance(S)
+    assert len(actions_of_type(actions, Reject) + actions_of_type(actions, Fail)) == 1
+    assert actions_of_type(actions, StartAttempt) == []
+    assert harness.end_attempt(1, 0, attempt.endpoint, AttemptResult.TIMEOUT) == []
+    assert harness.balancer.state.requests == {}
+    assert single_action(harness.send_request(), StartAttempt).endpoint in (1, 2, 3)
