--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -1,4 +1,4 @@
-"""The frame loop: clean ends, broken input, faults, and the instance map."""
+"""The simulator host's frame loop: end of input, invalid input, faults, and the instances."""
 
 import io
 import struct
@@ -14,14 +14,14 @@
     return struct.pack(">BHQII", event_decoder.CREATE, inst, seed, offset, len(text))
 
 
-def test_a_clean_end_exits_0_and_an_empty_batch_gets_an_empty_reply() -> None:
+def test_end_of_input_between_frames_exits_0_and_an_empty_batch_gets_an_empty_reply() -> None:
     sink = io.BytesIO()
     assert simhost.serve(io.BytesIO(frame() + frame()), sink) == 0
     assert sink.getvalue() == 2 * struct.pack(">II", 8, 0)
 
 
 @pytest.mark.parametrize(
-    ("raw", "says"),
+    ("raw", "message"),
     [
         (frame()[:2], "input ends 2 bytes into"),
         (frame(ARRIVAL)[:30], "input ends 30 bytes into a frame of 72"),
@@ -29,36 +29,36 @@
         (frame(b"\xfa"), "unknown event code 250"),
     ],
 )
-def test_broken_input_is_one_line_and_no_reply(
-    raw: bytes, says: str, capsys: pytest.CaptureFixture[str]
+def test_invalid_input_prints_one_error_line_and_gets_no_reply(
+    raw: bytes, message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     sink = io.BytesIO()
     assert simhost.serve(io.BytesIO(raw), sink) != 0
     assert sink.getvalue() == b""
     err = capsys.readouterr().err
-    assert says in err and err.count("\n") == 1
+    assert message in err and err.count("\n") == 1
 
 
-def test_an_unreadable_setting_becomes_a_fault_that_names_it() -> None:
+def test_invalid_setting_is_reported_as_a_fault_that_names_it() -> None:
     text = SETTINGS.replace("Rules.ColdFrom=0.13", "Rules.ColdFrom=some").encode()
     reply = simhost.Host().answer(frame(create(4, 1, text), tail=text))
     assert reply[8] == 100 and b"Rules.ColdFrom" in reply
 
 
-def test_a_failure_of_the_decisions_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_balancer_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     text = SETTINGS.encode()
     host = simhost.Host()
     host.answer(frame(create(3, 1, text), tail=text))
 
-    def broken(self: object, event: object, now_ns: int) -> list[object]:
+    def raise_error(self: object, event: object, now_ns: int) -> list[object]:
         raise RuntimeError("boom")
 
-    monkeypatch.setattr("puffinpost.balancing.balancer.Balancer.handle", broken)
+    monkeypatch.setattr("puffinpost.balancing.balancer.Balancer.handle", raise_error)
     reply = host.answer(frame(ARRIVAL))
     assert reply[8] == 100 and b"boom" in reply
 
 
-def test_kill_and_create_in_one_batch_leaves_nothing_of_the_old() -> None:
+def test_instance_that_is_recreated_in_one_batch_keeps_nothing_of_the_old_one() -> None:
     text = SETTINGS.encode()
     host = simhost.Host()
     host.answer(frame(create(3, 1, text), tail=text))
@@ -68,10 +68,10 @@
     )
     assert host.instances[3] is not old
     assert host.instances[3].state.requests == {}
-    assert struct.unpack(">II", reply[:8])[1] == 0  # nothing the old one ordered is sent for the new one
+    assert struct.unpack(">II", reply[:8])[1] == 0  # no action of the old instance is sent for the new one
 
 
-def test_instances_do_not_change_each_other() -> None:
+def test_instances_share_no_state() -> None:
     text = SETTINGS.encode()
     alone, together = simhost.Host(), simhost.Host()
     alone.answer(frame(create(3, 9, text), tail=text))
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -22,7 +22,7 @@
 
 def write_configuration(folder: Path, **settings: Any) -> dict[str, str]:
     """The environment of a node with these settings."""
-    told = {
+    config = {
         "name": "n0",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
@@ -31,7 +31,7 @@
         "settings": {**SETTINGS, **settings},
     }
     path = folder / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(config))
     (folder / "edge.toml").write_text("")
     return {"GW_CONFIG": str(path), "GW_EDGE": str(folder / "edge.toml")}
 
@@ -39,35 +39,35 @@
 @pytest.mark.parametrize("name", UNUSUAL_NAMES)
 def test_name_is_used_verbatim(tmp_path: Path, name: str) -> None:
     tenants = [{"Name": name, "Fraction": 0.5}, {"Name": "other", "Fraction": 0.5}]
-    told = load(
+    config = load(
         write_configuration(
             tmp_path, Classes=[{**LIVE, "Name": name}], Dcs=[name, "b"], Kinds=[name], Tenants=tenants
         )
     )
-    settings = told.settings
-    assert told.class_names == (name,) and told.zones == (name, "b") and told.endpoint_types == (name,)
+    settings = config.settings
+    assert config.class_names == (name,) and config.zones == (name, "b") and config.endpoint_types == (name,)
     assert (settings.zone_count, settings.endpoint_type_count, settings.max_attempts) == (2, 1, 5)
-    assert [it.name for it in settings.tenants] == [name, "other"]
+    assert [tenant.name for tenant in settings.tenants] == [name, "other"]
 
 
-class Ports:
+class StubPorts:
     """A clock that does not advance, and ports that do nothing."""
 
     def now(self) -> int:
         return 1
 
     def __getattr__(self, name: str) -> Any:
-        return lambda *told: None
+        return lambda *arguments: None
 
 
 def create_coordinator(folder: Path, **settings: Any) -> Coordinator:
-    told = load(write_configuration(folder, **settings))
-    ports: Any = Ports()
+    config = load(write_configuration(folder, **settings))
+    ports: Any = StubPorts()
     return Coordinator(
-        told.settings,
-        told.class_names,
+        config.settings,
+        config.class_names,
         1,
-        EndpointList(told.zones, told.endpoint_types),
+        EndpointList(config.zones, config.endpoint_types),
         ports,
         ports,
         Counters(),
@@ -76,30 +76,44 @@
 
 def test_tenant_is_found_by_name_and_an_unknown_one_has_no_quota(tmp_path: Path) -> None:
     tenants = [{"Name": name, "Fraction": 0.5} for name in ("zone", "farmácia x")]
-    made = create_coordinator(tmp_path, Tenants=tenants)
-    assert [made.tenant_index(it) for it in ("zone", "farmácia x", "farmácia_x")] == [0, 1, 1]
-    assert made.tenant_index("nobody") == made.tenant_index(None) == 2
+    coordinator = create_coordinator(tmp_path, Tenants=tenants)
+    assert [coordinator.tenant_index(tenant) for tenant in ("zone", "farmácia x", "farmácia_x")] == [0, 1, 1]
+    assert coordinator.tenant_index("nobody") == coordinator.tenant_index(None) == 2
     assert create_coordinator(tmp_path, Tenants=[]).tenant_index("zone") == 0
 
 
 def test_two_configurations_share_no_state(tmp_path: Path) -> None:
-    first = {
+    configured = {
         "Classes": [{**LIVE, "Name": "a", "AimNs": 300_000_000, "HardLimitNs": 900_000_000}],
         "Dcs": ["p", "q", "r"],
         "Tenants": [{"Name": "t", "Fraction": 1.0}],
     }
-    one, other = create_coordinator(tmp_path, **first), create_coordinator(tmp_path)
-    again = create_coordinator(tmp_path, **first)
-    assert one.settings == again.settings != other.settings
-    assert (other.settings_view.class_indexes, other.settings_view.tenant_indexes) == (
+    coordinator, default_coordinator = (
+        create_coordinator(tmp_path, **configured),
+        create_coordinator(tmp_path),
+    )
+    second_coordinator = create_coordinator(tmp_path, **configured)
+    assert coordinator.settings == second_coordinator.settings != default_coordinator.settings
+    assert (
+        default_coordinator.settings_view.class_indexes,
+        default_coordinator.settings_view.tenant_indexes,
+    ) == (
         {"live-text": 0, "once": 1},
         {},
     )
-    assert one.balancer.state.latency_objective_ns == again.balancer.state.latency_objective_ns == 300_000_000
-    assert other.balancer.state.latency_objective_ns == 800_000_000 and one.endpoint_list.zones == (
-        "p",
-        "q",
-        "r",
+    assert (
+        coordinator.balancer.state.latency_objective_ns
+        == second_coordinator.balancer.state.latency_objective_ns
+        == 300_000_000
+    )
+    assert (
+        default_coordinator.balancer.state.latency_objective_ns == 800_000_000
+        and coordinator.endpoint_list.zones
+        == (
+            "p",
+            "q",
+            "r",
+        )
     )
 
 
@@ -108,13 +122,13 @@
     environ = write_configuration(
         tmp_path, Tenants=[{"Name": "a", "Fraction": 0.4}, {"Name": "b", "Fraction": 0.6}]
     )
-    now = load(environ)
+    current = load(environ)
     write_configuration(tmp_path, Tenants=[{"Name": "c", "Fraction": 0.5}, {"Name": "b", "Fraction": 0.5}])
-    after = reload(now, environ)[0].settings.tenants
-    assert [(it.name, it.quota_share) for it in after] == [("a", 0.0), ("b", 0.5), ("c", 0.5)]
+    after = reload(current, environ)[0].settings.tenants
+    assert [(tenant.name, tenant.quota_share) for tenant in after] == [("a", 0.0), ("b", 0.5), ("c", 0.5)]
     write_configuration(tmp_path, Tenants=[{"Name": "b", "Fraction": 0.5}] * 2)
     with pytest.raises(ConfigError, match="Tenants"):
-        reload(now, environ)
+        reload(current, environ)
 
 
 @pytest.mark.parametrize("name", ["", "diktat-ü", "c=d", "d"])
@@ -125,31 +139,38 @@
 
 
 def test_pushed_lists_are_polled_before_the_first_client(deployment: Deployment) -> None:
-    """The agent's list counts as known from a process's first moment on: `known` may be old."""
+    """The local agent's list counts as known from the start of the process, but `known` may be outdated."""
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address)
-    old = deployment.discovery.snapshot()
+    old_snapshot = deployment.discovery.snapshot()
     deployment.discovery.set_endpoint("s-0", deployment.endpoints[0].address, "draining")
-    deployment.discovery.snapshot = lambda: old  # type: ignore[method-assign]
-    held = StandInDiscovery()
-    held.index, held.entries = deployment.discovery.index, dict(deployment.discovery.entries)
-    deployment.discovery.listener, told = held.listener, deployment.discovery.snapshot
+    deployment.discovery.snapshot = lambda: old_snapshot  # type: ignore[method-assign]
+    agent = StandInDiscovery()
+    agent.index, agent.entries = deployment.discovery.index, dict(deployment.discovery.entries)
+    deployment.discovery.listener, initial_snapshot = agent.listener, deployment.discovery.snapshot
     node = deployment.start(endpoint_count=0, settings={"Discovery": "pushed"})
-    assert told()["endpoints"][0]["status"] == "up"
+    assert initial_snapshot()["endpoints"][0]["status"] == "up"
     client = node.connect(with_new_id(OPEN_LINE % 600))
     assert client.read_line().startswith(b"BUSY") and not deployment.endpoints[0].has_pending_connection()
 
 
-EMPTY: dict[str, Any] = {"Dcs": [], "Kinds": [], "Tenants": [], "FamilyInfo": {}, "Report": {}, "Fees": {}}
+EMPTY_SETTINGS: dict[str, Any] = {
+    "Dcs": [],
+    "Kinds": [],
+    "Tenants": [],
+    "FamilyInfo": {},
+    "Report": {},
+    "Fees": {},
+}
 
 
-@pytest.mark.parametrize("key", EMPTY)
+@pytest.mark.parametrize("key", EMPTY_SETTINGS)
 def test_null_settings_count_as_absent(tmp_path: Path, key: str) -> None:
     """Some JSON encoders write null for an empty list."""
-    told = load(write_configuration(tmp_path, **{key: None}))
-    assert told.settings == load(write_configuration(tmp_path, **{key: EMPTY[key]})).settings
+    config = load(write_configuration(tmp_path, **{key: None}))
+    assert config.settings == load(write_configuration(tmp_path, **{key: EMPTY_SETTINGS[key]})).settings
 
 
-WRONG = [
+INVALID_SETTINGS = [
     ("FamilyInfo", {"MessageAimNs": ["inf"]}, "FamilyInfo.MessageAimNs"),
     ("FamilyInfo", [], "settings.FamilyInfo"),
     ("Report", "x0", "settings.Report"),
@@ -160,13 +181,13 @@
 ]
 
 
-@pytest.mark.parametrize(("key", "value", "named"), WRONG)
+@pytest.mark.parametrize(("key", "value", "named_key"), INVALID_SETTINGS)
 def test_invalid_setting_is_reported_at_start_and_reload(
-    tmp_path: Path, key: str, value: Any, named: str
+    tmp_path: Path, key: str, value: Any, named_key: str
 ) -> None:
-    now = load(write_configuration(tmp_path))
+    current = load(write_configuration(tmp_path))
     environ = write_configuration(tmp_path, **{key: value})
-    with pytest.raises(ConfigError, match=named):
+    with pytest.raises(ConfigError, match=named_key):
         load(environ)
     with pytest.raises(ConfigError):
-        reload(now, environ)
+        reload(current, environ)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The embedding example of README.md does what it says."""
+"""The embedding example of README.md runs and prints the output shown there."""
 
 import contextlib
 import io
@@ -8,11 +8,11 @@
 README = (Path(__file__).parent.parent / "README.md").read_text()
 
 
-def test_the_example_prints_what_the_page_says() -> None:
+def test_example_prints_the_output_shown_in_the_readme() -> None:
     code = re.search(r"```python\n(.*?)```", README, re.DOTALL)
-    said = re.search(r"It prints\n\n((?:    .*\n)+)", README)
-    assert code is not None and said is not None
+    expected_output = re.search(r"It prints\n\n((?:    .*\n)+)", README)
+    assert code is not None and expected_output is not None
     out = io.StringIO()
     with contextlib.redirect_stdout(out):
         exec(compile(code.group(1), "README.md", "exec"), {})
-    assert out.getvalue().strip() == said.group(1).strip()
+    assert out.getvalue().strip() == expected_output.group(1).strip()
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -1,4 +1,4 @@
-"""The real program under settings of other deployments: it starts, serves, moves off a drain and ends."""
+"""The started program with settings of other deployments: it serves, migrates off a drain and ends."""
 
 from __future__ import annotations
 
@@ -14,37 +14,40 @@
 REPORT: dict[str, Any] = SETTINGS["Report"]
 TENANTS = [{"Name": "a", "Share": 0.6, "QuotaPerS": 9.0}, {"Name": "b", "Share": 0.4, "QuotaPerS": 0.0}]
 QUOTAS = {**SETTINGS["FamilyInfo"], "Groups": True, "TenantQuotaConnections": [40, 1]}
-DRAWN: dict[str, dict[str, Any]] = {
+DEPLOYMENT_SETTINGS: dict[str, dict[str, Any]] = {
     "pushed lists": {"Discovery": "pushed", "Rules": {**SETTINGS["Rules"], "AskWithinNs": 0}},
     "groups and tenants": {"FamilyInfo": QUOTAS, "Tenants": TENANTS, "OverShareWorth": 0.1},
     "live weights, one attempt": {"Weights": "live", "Limits": {**LIMITS, "AttemptsCap": 1}},
-    "no weights, no cancels": {"Weights": "off", "Limits": {**LIMITS, "Cancel": False}},
-    "probes without a count": {
+    "no weights, no cancellation": {"Weights": "off", "Limits": {**LIMITS, "Cancel": False}},
+    "health checks without a connection count": {
         "Limits": {**LIMITS, "Probes": True},
         "Report": {**REPORT, "Fields": ["x0", "tps", "mean_ms", "err_ps"]},
     },
-    "no word when to come back": {"Limits": {**LIMITS, "RetryAfter": False, "MaxRetryAfterNs": 0}},
+    "no Retry-After": {"Limits": {**LIMITS, "RetryAfter": False, "MaxRetryAfterNs": 0}},
     "a large fleet of four zones": {"FleetSize": 200, "Dcs": ["a", "amman", "b", "c"], "Locality": 1},
-    "nothing reported, no ramp": {
+    "no load report fields, no slow start": {
         "Report": {**REPORT, "Fields": []},
         "Rules": {**SETTINGS["Rules"], "ColdFrom": 1.0, "RampTimeNs": 0},
     },
 }
 
 
-@pytest.mark.parametrize("settings", DRAWN.values(), ids=DRAWN.keys())
+@pytest.mark.parametrize("settings", DEPLOYMENT_SETTINGS.values(), ids=DEPLOYMENT_SETTINGS.keys())
 def test_program_serves_with_settings_of_another_deployment(
     deployment: Deployment, settings: dict[str, Any]
 ) -> None:
     assert all(settings[key] != SETTINGS.get(key) for key in settings)
     node = deployment.start(settings=settings)
     client = node.connect(with_new_id(OPEN_LINE % 3000))
-    server, relay = accept_attempt(deployment.endpoints)
-    while not relay.read_line().startswith(b"OPEN"):  # a probe: not said, which is no report
-        relay.close()
-        server, relay = accept_attempt(deployment.endpoints)
-    relay.send(b"UP 1\r\n")
+    endpoint, upstream = accept_attempt(deployment.endpoints)
+    # A health check is closed without a response, so it yields no load report.
+    while not upstream.read_line().startswith(b"OPEN"):
+        upstream.close()
+        endpoint, upstream = accept_attempt(deployment.endpoints)
+    upstream.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
-    deployment.discovery.set_endpoint(f"s-{deployment.endpoints.index(server)}", server.address, "draining")
+    deployment.discovery.set_endpoint(
+        f"s-{deployment.endpoints.index(endpoint)}", endpoint.address, "draining"
+    )
     assert is_migrated(client)
     assert node.stop() == 0
