--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -408,4 +408,4 @@
 
 
 def test_counters_are_logged_at_the_configured_interval(deployment: Deployment) -> None:
-    deployment.start(edge="[counters]\nevery_s = 1\n").wait_for_log("counts: ", 2)
+    deployment.start(edge="[counters]\nevery_s = 1\n").wait_for_log("counter totals counters=", 2)
