--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,7 +16,7 @@
 from conftest import Deployment
 from stand_ins import ROOT, SETTINGS, WAIT_TIMEOUT_S, SocketPeer, StandInEndpoint
 
-# The first line of a request, with its time to the deadline in ms left open.
+# The first line of a request, with a placeholder for the time to its deadline in ms.
 OPEN_LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=live-text,d=%d,g=5c0f6e1a2b3d4c59\r\n"
 REQUEST_IDS = itertools.count(0x9B1F03AA5C7E2D42)
 
