--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,8 +9,7 @@
 from conftest import Deployment
 from stand_ins import NodeProcess, SocketPeer
 from test_mqtt import MqttDeployment
-from test_node import OPEN, first_of, fresh
-from test_node import served as serve_over_line_protocol
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment, open_request
 
 from puffinpost.observability.log import MAX_HIGH_VOLUME_LINES_PER_SECOND
@@ -25,7 +24,7 @@
 
 
 def assert_node_serves(deployment: Deployment, node: NodeProcess) -> None:
-    serve_over_line_protocol(deployment, node.connect(fresh(OPEN % 3000)))
+    establish_request(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert node.process.poll() is None
 
 
@@ -33,7 +32,7 @@
     "sent",
     [
         b"GARBAGE\r\n",
-        fresh(OPEN % 3000).replace(b"d=3000", b"d=soon"),
+        with_new_id(OPEN_LINE % 3000).replace(b"d=3000", b"d=soon"),
         b"x" * 5000,
         b"OPEN \xff\r\n",
     ],
@@ -92,8 +91,8 @@
 ) -> None:
     """Before the session is established the client is retried elsewhere, since its class is idempotent."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    endpoint, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    endpoint, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     if established:
         upstream.send(b"UP 1\r\n")
@@ -105,7 +104,7 @@
     if established:
         assert client.wait_for_close() == "reset"
     else:
-        serve_over_line_protocol(deployment, client)
+        establish_request(deployment, client)
     assert_node_serves(deployment, node)
 
 
--- a/tests/test_drain_rule.py
+++ b/tests/test_drain_rule.py
@@ -17,7 +17,7 @@
 from balancer_harness import BALANCER_SETTINGS
 from conftest import Deployment
 from stand_ins import SETTINGS, NodeProcess, SocketPeer, StandInDiscovery, StandInEndpoint
-from test_node import OPEN, first_of, fresh
+from test_node import OPEN_LINE, accept_attempt, with_new_id
 from test_reload import is_migrated
 
 from puffinpost.balancing.poll_schedule import PollSchedule
@@ -465,8 +465,8 @@
 def test_pushed_lists_are_polled_from_the_local_agent(deployment: Deployment) -> None:
     """The balancer does not poll if lists are pushed, so with real sockets the node has to fetch them."""
     node = deployment.start(settings={"Discovery": "pushed"})
-    client = node.connect(fresh(OPEN % 3000))
-    endpoint, peer = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    endpoint, peer = accept_attempt(deployment.endpoints)
     peer.read_line()
     peer.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
@@ -556,7 +556,7 @@
         time.sleep(0.05)  # the next change follows just after the answer to this one
         discovery.set_status(draining, "draining")
         for _ in range(24):
-            clients.append(node.connect(fresh(OPEN % 500)))
+            clients.append(node.connect(with_new_id(OPEN_LINE % 500)))
             time.sleep(0.03)
     assert discovery.rule.requests_sent > 60
     assert (discovery.rule.violations != []) is pause_injected, discovery.rule.violations
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S, SocketPeer, StandInEndpoint
-from test_node import OPEN, fresh, served
+from test_node import OPEN_LINE, establish_request, with_new_id
 
 
 class Collector:
@@ -74,7 +74,7 @@
 
 
 def complete_session(deployment: Deployment, client: SocketPeer, response_lines: bytes = b"") -> None:
-    upstream = served(deployment, client)
+    upstream = establish_request(deployment, client)
     client.send(b"123456\r\n")
     assert upstream.read_line() == b"123456\r\n"
     upstream.send(response_lines + b"BYE\r\n")
@@ -86,10 +86,10 @@
     listener = StandInEndpoint()
     node = deployment.start(endpoint_count=1, edge=flow_export_table(listener.address))
     before = time.time_ns() // 1_000_000
-    client = node.connect(fresh(OPEN % 3000))
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
     source = client.socket.getsockname()
     complete_session(deployment, client, b"abc\r\n")
-    rejected = node.connect(OPEN % 300)  # not established, so not exported
+    rejected = node.connect(OPEN_LINE % 300)  # not established, so not exported
     upstream = deployment.endpoints[0].accept()
     upstream.read_line()
     assert rejected.read_line().startswith(b"BUSY") and upstream.wait_for_close() == "end"
@@ -101,7 +101,7 @@
     assert record[0, 12] == b"\x7f\0\0\1" and read_uint(record[0, 11]) == deployment.endpoints[0].port
     assert read_uint(record[0, 1]) == 8 and read_uint(record[29305, 1]) == 5 + 5
     assert record[0, 96] == b"live-text" and record[0, 4] == b"\6" and record[0, 136] == b"\3"
-    complete_session(deployment, node.connect(fresh(OPEN % 3000)))
+    complete_session(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert len(collector.read_message()) == 1
     node.stop()
     assert "flows_sent=2" in node.log_path.read_text()
@@ -114,13 +114,13 @@
     listener = StandInEndpoint()
     node = deployment.start(endpoint_count=1, edge=flow_export_table(listener.address))
     if collector_disconnects:
-        complete_session(deployment, node.connect(fresh(OPEN % 3000)))
+        complete_session(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
         collector = Collector(listener.accept())
         assert collector.read_message() == [] and len(collector.read_message()) == 1
         collector.peer.close("reset")
     listener.socket.close()
     for _ in range(3):
-        complete_session(deployment, node.connect(fresh(OPEN % 3000)))
+        complete_session(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert node.stop() == 0
     assert "flows_dropped=3" in node.log_path.read_text()
 
@@ -128,11 +128,11 @@
 def test_a_reconnected_collector_receives_queued_records(deployment: Deployment) -> None:
     listener = StandInEndpoint()
     node = deployment.start(endpoint_count=1, edge=flow_export_table(listener.address))
-    complete_session(deployment, node.connect(fresh(OPEN % 3000)))
+    complete_session(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     first = Collector(listener.accept())
     assert first.read_message() == [] and len(first.read_message()) == 1
     first.peer.close("reset")
-    complete_session(deployment, node.connect(fresh(OPEN % 3000)))
+    complete_session(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     # The templates are sent again, and the sequence numbers start again.
     second = Collector(listener.accept())
     assert second.read_message() == [] and len(second.read_message()) == 1
--- a/tests/test_lifecycle_races.py
+++ b/tests/test_lifecycle_races.py
@@ -32,7 +32,7 @@
     StandInEndpoint,
     free_port,
 )
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 from puffinpost.cluster.replication_store import ReplicaStore
 from puffinpost.cluster.replication_writer import ReplicaWriter
@@ -81,7 +81,7 @@
     """Establishes ``count`` sessions at this endpoint one after another; returns the upstream connections."""
     upstreams = []
     for _ in range(count):
-        client = node.connect(fresh(OPEN % 3000))
+        client = node.connect(with_new_id(OPEN_LINE % 3000))
         upstreams.append(endpoint.accept())
         upstreams[-1].read_line()
         upstreams[-1].send(b"UP 1\r\n")
@@ -103,7 +103,7 @@
     deployment.endpoints[0] = unaccepting
     node = deployment.start(endpoint_count=1, settings=LONG_CONNECT_TIMEOUT)
     wait_for_endpoint_list(deployment.discovery)
-    client = node.connect(fresh(OPEN % 8000))
+    client = node.connect(with_new_id(OPEN_LINE % 8000))
     node.wait_for_counter("relays", 1)
     deployment.discovery.set_endpoint("s-1", other.address)
     if change in ("draining", "removed"):
@@ -139,7 +139,7 @@
     deployment.endpoints[0] = first_endpoint
     node = deployment.start(endpoint_count=1, settings={**LONG_CONNECT_TIMEOUT, "Classes": keyed_classes})
     started_at = time.monotonic()
-    client = node.connect(fresh(OPEN % 3900))
+    client = node.connect(with_new_id(OPEN_LINE % 3900))
     upstream = first_endpoint.accept()
     upstream.read_line()
     deployment.discovery.set_endpoint("s-1", unaccepting.address)
@@ -156,7 +156,7 @@
 def test_client_that_disconnects_during_the_connect_is_not_forwarded(deployment: Deployment) -> None:
     unaccepting = deployment.endpoints[0] = UnacceptingEndpoint()
     node = deployment.start(endpoint_count=1, settings=LONG_CONNECT_TIMEOUT)
-    client = node.connect(fresh(OPEN % 8000))
+    client = node.connect(with_new_id(OPEN_LINE % 8000))
     node.wait_for_counter("relays", 1)
     client.close()
     node.wait_for_counter("gone", 1)
@@ -174,8 +174,8 @@
 ) -> None:
     """Also after a long input: if it stayed unread, the node would not notice the end of the connection."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000) + trailing_data)
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000) + trailing_data)
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     client.close(how)
     assert upstream.wait_for_close() in ("end", how)
@@ -186,8 +186,8 @@
 def test_final_bytes_of_a_client_reach_an_endpoint_that_writes_meanwhile(deployment: Deployment) -> None:
     """The node is suspended while both sides write and the client closes, so that input is left unread."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     upstream.send(b"UP 1\r\n")
     assert client.read_line() == b"UP 1\r\n"
@@ -202,8 +202,8 @@
 def test_client_that_sends_without_limit_before_its_answer_gets_an_error(deployment: Deployment) -> None:
     """The buffer for one client is bounded. On overflow the client gets an answer before the close."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     client.socket.setblocking(False)
     sent = 0
@@ -229,7 +229,7 @@
     node.process.terminate()
     for client in idle_clients:
         assert client.read_line().startswith(b"BUSY")
-        client.send(fresh(OPEN % 3000))
+        client.send(with_new_id(OPEN_LINE % 3000))
         assert client.wait_for_close() == "end" and client.buffer == b""
     assert node.process.wait(WAIT_TIMEOUT_S) == 0 and have_no_attempts(*deployment.endpoints)
 
@@ -321,10 +321,10 @@
     """The process is suspended while the client connects and writes, and gets SIGTERM before it continues."""
     node = deployment.start()
     node.process.send_signal(signal.SIGSTOP)
-    client = node.connect(fresh(OPEN % 2000))
+    client = node.connect(with_new_id(OPEN_LINE % 2000))
     node.process.terminate()
     node.process.send_signal(signal.SIGCONT)
-    upstream = served(deployment, client)
+    upstream = establish_request(deployment, client)
     assert (
         client.read_line() == b"MOVE\r\n"
         and client.wait_for_close() == "end"
@@ -335,8 +335,8 @@
 
 def test_repeated_sigterm_has_no_effect(deployment: Deployment) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     node.process.terminate()
     assert select.select([client.socket], [], [], 0.6)[0] == []
     node.process.terminate()
@@ -349,8 +349,8 @@
 
 def test_move_is_sent_between_lines_while_both_sides_are_mid_line(deployment: Deployment) -> None:
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     client.send(b"half a line")
     upstream.send(b"whole\r\nhalf of the answer")
     assert client.read_line() == b"whole\r\n"
@@ -417,8 +417,8 @@
     """Where answers contain load reports, most arrive with the final answer of an established session."""
     report = {"Source": "inline", "Fields": ["x0", "concurrent"]}
     node = deployment.start(settings={"Report": report}, edge="[log]\ntrace = true\n")
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     upstream.send(b"BYE x0=0.5,concurrent=3\r\n")
     upstream.close()
     assert client.read_line() == b"BYE x0=0.5,concurrent=3\r\n" and client.wait_for_close() == "end"
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S, NodeProcess, SocketPeer
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 from xmpp_stand_ins import STREAM_HEADER, XmppDeployment
 
 ANSWER_LIMIT_S = 3.0
@@ -61,8 +61,8 @@
     node = deployment.start(sockets=80)
     idle_clients = [node.connect(data) for _ in range(150)]
     started_at = time.monotonic()
-    client = node.connect(fresh(OPEN % 3000))
-    upstream = served(deployment, client)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    upstream = establish_request(deployment, client)
     assert time.monotonic() - started_at < 1
     ended = [peer for peer in idle_clients if select.select([peer.socket], [], [], 0)[0]]
     assert len(ended) >= 100
@@ -75,7 +75,7 @@
 ) -> None:
     """Writing the line takes 2 s. Meanwhile, over a hundred others connect, or the node shuts down."""
     node = deployment.start(sockets=80)
-    slow_client, line = node.connect(), fresh(OPEN % 3000)
+    slow_client, line = node.connect(), with_new_id(OPEN_LINE % 3000)
     stalled_clients: list[SocketPeer] = []
     for offset in range(0, len(line), 4):
         slow_client.send(line[offset : offset + 4])
@@ -85,7 +85,7 @@
             node.process.terminate()
         # Neither answered nor closed.
         assert not select.select([slow_client.socket], [], [], 2.0 * 4 / len(line))[0]
-    upstream = served(deployment, slow_client)
+    upstream = establish_request(deployment, slow_client)
     assert len(stalled_clients) > (7 if shuts_down else 100) and upstream
 
 
@@ -102,7 +102,7 @@
     [
         b"GET / HTTP/1.1\r\n" * 6000,
         b"x" * 100_000,
-        OPEN % 3000 * 300,
+        OPEN_LINE % 3000 * 300,
         b"OPEN " + b"\r\n" * 5000,
     ],
     ids=["lines", "unterminated line", "commands", "empty"],
@@ -135,9 +135,9 @@
     deployment: Deployment,
 ) -> None:
     node = deployment.start()
-    line = fresh(OPEN % 3000)
+    line = with_new_id(OPEN_LINE % 3000)
     client = node.connect(line)
-    _, upstream = first_of(deployment.endpoints)
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     assert node.connect(line).read_line() == b"ERR\r\n"
     upstream.send(b"UP 1\r\n")
@@ -150,7 +150,7 @@
     )
     client.close()
     assert upstream.wait_for_close() == "end"
-    served(deployment, node.connect(line))
+    establish_request(deployment, node.connect(line))
 
 
 @pytest.mark.parametrize(
@@ -184,7 +184,7 @@
 def test_request_line_that_violates_the_protocol_is_an_error_and_not_forwarded(
     deployment: Deployment, old: bytes, new: bytes
 ) -> None:
-    line = OPEN % 9
+    line = OPEN_LINE % 9
     assert old in line
     client = deployment.start().connect(line.replace(old, new, 1))
     assert client.read_line() == b"ERR\r\n" and client.wait_for_close() == "end"
@@ -196,8 +196,8 @@
 ) -> None:
     """They are buffered in order up to a limit and sent to the endpoint once the session is established."""
     node = deployment.start()
-    client = node.connect(fresh(OPEN % 3000))
-    _, upstream = first_of(deployment.endpoints)
+    client = node.connect(with_new_id(OPEN_LINE % 3000))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     started_at = time.monotonic()
     client.send(b"".join(b"%d\r\n" % number for number in range(20000)))
@@ -212,8 +212,8 @@
 def test_half_closed_client_gets_its_answer_and_no_further_attempt(
     deployment: Deployment, request_class: bytes, answer: bytes
 ) -> None:
-    client = deployment.start().connect((OPEN % 3000).replace(b"live-text", request_class))
-    _, upstream = first_of(deployment.endpoints)
+    client = deployment.start().connect((OPEN_LINE % 3000).replace(b"live-text", request_class))
+    _, upstream = accept_attempt(deployment.endpoints)
     upstream.read_line()
     client.socket.shutdown(socket.SHUT_WR)
     assert (
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -19,7 +19,7 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 from stand_ins import ALWAYS_HAND_OVER, ROOT, WAIT_TIMEOUT_S, NodeProcess, SocketPeer, free_port
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import CERTIFICATE, KEY
 
 from puffinpost.emulator.mqtt_device import MqttDevice
@@ -103,7 +103,7 @@
         self.subscribe()
         self.publish("open", OPEN % number, correlation_data=b"c")
         self.flush()
-        upstream = first_of(deployment.endpoints)[1]
+        upstream = accept_attempt(deployment.endpoints)[1]
         assert upstream.read_line().startswith(b"OPEN ")
         upstream.send(b"UP 7\r\n")
         self.wait_until(lambda: bool(self.payloads("answer")))
@@ -198,7 +198,7 @@
     device.subscribe()
     device.publish("open", OPEN % 1, correlation_data=b"c")
     device.flush()
-    upstream = first_of(deployment.endpoints)[1]
+    upstream = accept_attempt(deployment.endpoints)[1]
     assert upstream.read_line().startswith(b"OPEN ")
     if reconnect != "same link":
         link.send_command(*(("cut", "cut") if reconnect == "new link" else ("freeze", "frozen")))
@@ -223,7 +223,7 @@
     device.subscribe()
     device.publish("open", (OPEN % 1).replace(b"live-text", b"once"), correlation_data=b"mine")
     device.flush()
-    upstream = first_of(deployment.endpoints)[1]
+    upstream = accept_attempt(deployment.endpoints)[1]
     assert upstream.read_line().startswith(b"OPEN ")
     device.peer.close("reset")
     frontend.node.wait_for_counter("edge_detached", 1)
@@ -520,7 +520,7 @@
     try:
         assert subscribed.wait(WAIT_TIMEOUT_S)
         client.publish("puffinpost/open", OPEN % 1, qos=2)
-        upstream = first_of(deployment.endpoints)[1]
+        upstream = accept_attempt(deployment.endpoints)[1]
         assert upstream.read_line().startswith(b"OPEN ")
         upstream.send(b"UP 7\r\n")
         assert answered.wait(WAIT_TIMEOUT_S)
--- a/tests/test_resource_exhaustion.py
+++ b/tests/test_resource_exhaustion.py
@@ -18,7 +18,7 @@
 from test_lifecycle_races import establish_at, have_no_attempts, wait_for_endpoint_list
 from test_mqtt import OPEN as MQTT_OPEN
 from test_mqtt import MqttDeployment
-from test_node import OPEN, first_of, fresh, served
+from test_node import OPEN_LINE, accept_attempt, establish_request, with_new_id
 
 from puffinpost.balancing.poll_schedule import DISCOVERY_QUEUE_TIMEOUT_NS, PROPAGATION_LIMIT_NS
 
@@ -58,7 +58,7 @@
     resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, limits)
     if not has_spare:
         assert {client.read_line() for client in clients} == {b"PONG\r\n"}
-    served(deployment, node.connect(fresh(OPEN % 3000)))
+    establish_request(deployment, node.connect(with_new_id(OPEN_LINE % 3000)))
     assert node.process.poll() is None
 
 
@@ -81,7 +81,7 @@
     node.process.send_signal(signal.SIGSTOP)
     for sends_request in (True, False) if request_first else (False, True):
         if sends_request:
-            idle_clients[0].send(fresh(OPEN % 3000))
+            idle_clients[0].send(with_new_id(OPEN_LINE % 3000))
         else:
             fourth.send(b"PING\r\n")
     node.process.send_signal(signal.SIGCONT)
@@ -91,7 +91,7 @@
         answer = idle_clients[0].read_line()
     except TimeoutError:  # admitted: its attempt waits for the endpoint
         idle_clients[0].socket.settimeout(WAIT_TIMEOUT_S)
-        served(deployment, idle_clients[0])
+        establish_request(deployment, idle_clients[0])
         return
     assert (
         answer.startswith(b"BUSY")
@@ -114,12 +114,12 @@
     else:
         device.publish("open", MQTT_OPEN % 1, correlation_data=b"c")
         device.flush()
-        upstream = first_of(deployment.endpoints)[1]
+        upstream = accept_attempt(deployment.endpoints)[1]
         upstream.read_line()
     if when == "between attempts":
         # The second attempt starts at once. It fails too, and the third is delayed.
         upstream.send(b"ERR\r\n")
-        upstream = first_of(deployment.endpoints)[1]
+        upstream = accept_attempt(deployment.endpoints)[1]
         upstream.read_line()
         # Suspended, so that the answer and the cancellation are read in one iteration of the event loop.
         mqtt.node.process.send_signal(signal.SIGSTOP)
--- a/tests/test_xmpp.py
+++ b/tests/test_xmpp.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import (
     ANONYMOUS_AUTH,
     BIND_REQUEST,
@@ -43,7 +43,7 @@
     sent = open_request(2000) + b"\n" + early_message
     for at in range(0, len(sent), step):
         client.send(sent[at : at + step])
-    _, upstream = first_of(deployment.endpoints)
+    _, upstream = accept_attempt(deployment.endpoints)
     open_iq = negotiate_as_endpoint(upstream)
     found = re.search(rb"<open xmlns='urn:puffinpost:session:0' class='live-text' wait='(\d+)'", open_iq)
     assert found is not None and 0 < int(found.group(1)) < 2000
@@ -87,7 +87,7 @@
 def test_a_failed_request_is_answered_with_its_error_condition(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment).connect_and_bind()
     client.send(open_request(2000, "once"))
-    _, upstream = first_of(deployment.endpoints)
+    _, upstream = accept_attempt(deployment.endpoints)
     answer_iq(upstream, negotiate_as_endpoint(upstream), INTERNAL_SERVER_ERROR, b"error")
     assert b"<error type='cancel'><service-unavailable " + STANZAS in client.read_until(b"</iq>")
     assert upstream.wait_for_close() == "end" and not any(
@@ -101,7 +101,7 @@
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(700))
     started = time.monotonic()
-    _, upstream = first_of(deployment.endpoints)
+    _, upstream = accept_attempt(deployment.endpoints)
     if negotiates:
         negotiate_as_endpoint(upstream)
     assert b"type='wait'" in client.read_until(b"</iq>")
@@ -116,7 +116,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    first = first_of(deployment.endpoints)
+    first = accept_attempt(deployment.endpoints)
     if established:
         establish_session(deployment.endpoints, client, first)
     else:
@@ -143,7 +143,7 @@
     xmpp = XmppDeployment(deployment)
     client, jid = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    first = first_of(deployment.endpoints)
+    first = accept_attempt(deployment.endpoints)
     open_iq = negotiate_as_endpoint(first[1])
     if established:
         answer_iq(first[1], open_iq, SESSION_UP)
@@ -176,7 +176,7 @@
         peer.read_until(b"<success " + SASL_XMLNS + b"/>")
         assert bind_resource(peer, b"phone") == b"ada@edge.test/phone"
         peer.send(open_request(3000))
-        upstream = first_of(deployment.endpoints)[1]
+        upstream = accept_attempt(deployment.endpoints)[1]
         peers.append((peer, upstream, negotiate_as_endpoint(upstream)))
         if len(peers) == 2:
             assert b"<conflict " in peers[0][0].read_until(b"</stream:stream>")
@@ -190,7 +190,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    first = first_of(deployment.endpoints)
+    first = accept_attempt(deployment.endpoints)
     upstream = establish_session(deployment.endpoints, client, first)
     connected_before, _ = xmpp.connect_and_bind()
     deployment.discovery.set_endpoint(
@@ -206,7 +206,7 @@
     connected_after, _ = xmpp.connect_and_bind()
     for number, peer in enumerate((connected_before, connected_after)):
         peer.send(open_request(3000))
-        chosen, accepted = first_of(deployment.endpoints)
+        chosen, accepted = accept_attempt(deployment.endpoints)
         assert chosen is not first[0], number
         establish_session(deployment.endpoints, peer, (chosen, accepted))
     assert not first[0].has_pending_connection()
@@ -216,7 +216,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000))
-    upstream = establish_session(deployment.endpoints, client, first_of(deployment.endpoints))
+    upstream = establish_session(deployment.endpoints, client, accept_attempt(deployment.endpoints))
     idle, _ = xmpp.connect_and_bind()
     xmpp.node.process.terminate()
     assert b"<move" in client.read_until(b"</stream:stream>") and upstream.wait_for_close() == "end"
@@ -350,7 +350,7 @@
 def test_endpoints_are_reached_over_tls_where_configured(deployment: Deployment) -> None:
     client, _ = XmppDeployment(deployment, upstream_tls=True).connect_and_bind()
     client.send(open_request(3000))
-    upstream = first_of(deployment.endpoints)[1]
+    upstream = accept_attempt(deployment.endpoints)[1]
     answer_iq(upstream, negotiate_as_endpoint(upstream, tls=True), SESSION_UP)
     assert SESSION_UP in client.read_until(b"</iq>")
     client.send(b"<message><body>over</body></message>")
@@ -367,7 +367,7 @@
     xmpp = XmppDeployment(deployment)
     client, _ = xmpp.connect_and_bind()
     client.send(open_request(3000, "once"))
-    first, upstream = first_of(deployment.endpoints)
+    first, upstream = accept_attempt(deployment.endpoints)
     upstream.read_until(b"version='1.0'>")
     upstream.send(STREAM_HEADER + b"<stream:features>" + offers + FEATURES_END)
     if not offers:
@@ -377,7 +377,7 @@
             b"<policy-violation " in upstream.read_until(b"</stream:stream>")
             and upstream.wait_for_close() == "end"
         )
-    second, retry_upstream = first_of(deployment.endpoints)
+    second, retry_upstream = accept_attempt(deployment.endpoints)
     assert second is not first
     answer_iq(retry_upstream, negotiate_as_endpoint(retry_upstream), SESSION_UP)
     assert SESSION_NAMESPACE.encode() in client.read_until(b"</iq>")
--- a/tests/test_xmpp_managed.py
+++ b/tests/test_xmpp_managed.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import Deployment
 from stand_ins import WAIT_TIMEOUT_S, SocketPeer
-from test_node import first_of
+from test_node import accept_attempt
 from xmpp_stand_ins import (
     BIND_REQUEST,
     FEATURES_END,
@@ -100,7 +100,7 @@
 
 def open_session(deployment: Deployment, client: ManagedClient) -> SocketPeer:
     client.send(open_request(3000))
-    upstream = first_of(deployment.endpoints)[1]
+    upstream = accept_attempt(deployment.endpoints)[1]
     answer_iq(upstream, negotiate_as_endpoint(upstream), SESSION_UP)
     assert SESSION_UP in client.receive_stanza()
     return upstream
@@ -145,7 +145,7 @@
 ) -> None:
     client = ManagedClient(XmppDeployment(deployment))
     client.send(open_request(3000))
-    upstream = first_of(deployment.endpoints)[1]
+    upstream = accept_attempt(deployment.endpoints)[1]
     open_iq = negotiate_as_endpoint(upstream)
     lose_connection(client)
     answer_iq(upstream, open_iq, SESSION_UP)
@@ -165,7 +165,7 @@
 def test_a_repeated_open_joins_the_request_under_way(deployment: Deployment) -> None:
     client = ManagedClient(XmppDeployment(deployment))
     client.send(open_request(3000))
-    upstream = first_of(deployment.endpoints)[1]
+    upstream = accept_attempt(deployment.endpoints)[1]
     open_iq = negotiate_as_endpoint(upstream)
     client.send(open_request(3000))
     assert client.request_handled_count() == 2
